--- a/apps/heroncleatd/entry/dispatch_host.ts
+++ b/apps/heroncleatd/entry/dispatch_host.ts
@@ -1,6 +1,6 @@
 import {
-  Admission,
   ADMISSION_DEFAULTS,
+  AdmissionController,
   entryCapacity,
   RetryBudget,
 } from "@heroncleat/admission";
@@ -19,7 +19,7 @@
 /** Admission to one model or service, and who waits for it. */
 type Lane = {
   readonly target: Pick<RoutedRequest, "model" | "service">;
-  readonly admission: Admission;
+  readonly admission: AdmissionController;
   readonly waiting: Map<string, (answer: AdmissionAnswer) => void>;
 };
 
@@ -66,7 +66,7 @@
         return;
       case "entries":
         this.#entries = Math.max(1, message.alive);
-        this.#router.setSharers(this.#entries);
+        this.#router.setEntryCount(this.#entries);
         this.#refreshCapacity();
         return;
       case "configuration":
@@ -74,15 +74,15 @@
         this.#setLimits(message.view.limits);
         return;
       case "upstream":
-        this.#router.upstreamChanged(message.announcement, now);
+        this.#router.updateUpstream(message.announcement, now);
         this.#refreshCapacity();
         return;
       case "upstream_lapsed":
-        this.#router.upstreamLapsed(message.name);
+        this.#router.removeUpstream(message.name);
         this.#refreshCapacity();
         return;
       case "cache_event":
-        this.#router.cacheChanged(message.upstream, message.event);
+        this.#router.applyCacheEvent(message.upstream, message.event);
         return;
       case "admit":
         this.#admit(message);
@@ -94,14 +94,14 @@
         this.#route(message);
         return;
       case "first_token":
-        this.#router.firstToken(message.upstream, message);
+        this.#router.recordFirstToken(message.upstream, message);
         this.#context.metrics.timing("first_token", message.measured);
         return;
       case "between_tokens":
-        this.#router.betweenTokens(message.upstream, message.measured);
+        this.#router.recordTokenInterval(message.upstream, message.measured);
         return;
       case "ended":
-        this.#router.ended(message.upstream, { ...message, now });
+        this.#router.recordEnd(message.upstream, { ...message, now });
         return;
       case "inspect":
         message.read(this.#router);
@@ -178,8 +178,8 @@
       return;
     }
     if (!message.isRetry) {
-      this.#budget.firstAttempt();
-    } else if (!this.#budget.take()) {
+      this.#budget.recordFirstAttempt();
+    } else if (!this.#budget.tryConsume()) {
       this.#context.metrics.increment("retry_budget.empty");
       message.reply({
         kind: "unroutable",
@@ -202,7 +202,7 @@
     const key = `${target.service}/${target.model}`;
     let lane = this.#lanes.get(key);
     if (lane === undefined) {
-      const admission = new Admission({
+      const admission = new AdmissionController({
         ...ADMISSION_DEFAULTS,
         maxQueued: this.#context.entry.max_queued,
       });
--- a/apps/heroncleatd/entry/handle_service.ts
+++ b/apps/heroncleatd/entry/handle_service.ts
@@ -147,7 +147,7 @@
   return new Promise((resolve) => {
     parts.dispatch.send({
       kind: "inspect",
-      read: (router) => resolve(router.idempotencyOf(routed)),
+      read: (router) => resolve(router.isIdempotent(routed)),
     });
   });
 }
--- a/apps/heroncleatd/entry/request_host.ts
+++ b/apps/heroncleatd/entry/request_host.ts
@@ -5,7 +5,7 @@
   RequestEffect,
   RequestEvent,
 } from "@heroncleat/requests";
-import { isPaceSample, RequestPhase } from "@heroncleat/requests";
+import { isTokenIntervalSample, RequestPhase } from "@heroncleat/requests";
 import type { ForwardedAnswer } from "@heroncleat/schema";
 import { CrashStanding } from "@heroncleat/serving";
 import { buildUpstreamBody } from "./build_upstream_body.ts";
@@ -198,7 +198,12 @@
         onPiece: (place, text) => {
           this.#notePace(attempt, place);
           const piece = { text, tokens: 1 };
-          this.#notify({ kind: "piece", attempt: number, place, piece });
+          this.#notify({
+            kind: "piece",
+            attempt: number,
+            position: place,
+            piece,
+          });
         },
         onFinished: (pieces, reason) => {
           context.crashes.noteAnswer(this.#identity);
@@ -232,7 +237,7 @@
       });
       return;
     }
-    if (isPaceSample(place)) {
+    if (isTokenIntervalSample(place)) {
       const pace = (now - attempt.firstTokenAt) / place;
       services.betweenTokens(attempt.upstream, pace);
     }
--- a/apps/heroncleatd/entry/request_registry.ts
+++ b/apps/heroncleatd/entry/request_registry.ts
@@ -2,7 +2,7 @@
 import { unreachable } from "@heroncleat/base";
 import { chooseStandby } from "@heroncleat/membership";
 import {
-  createReclaimChoice,
+  createReclaimPolicy,
   OwnedRequest,
   RequestPhase,
   type StandbyCopy,
@@ -167,9 +167,9 @@
         copyTimeout: COPY_TIMEOUT,
         handOverTimeout: HAND_OVER_TIMEOUT,
         idleTimeout: context.entry.attempt_idle_timeout,
-        retryPause: RETRY_PAUSE,
-        mostAttempts: MOST_ATTEMPTS,
-        chooseOnReclaim: createReclaimChoice(RECLAIM_RATES),
+        retryDelay: RETRY_PAUSE,
+        maxAttempts: MOST_ATTEMPTS,
+        chooseReclaimAction: createReclaimPolicy(RECLAIM_RATES),
       },
       start,
     });
@@ -289,7 +289,7 @@
       const event = { kind: "custody_lost" as const, owner };
       owned.actor.send({ kind: "event", event });
     }
-    return this.#held.take(copy, this.#now());
+    return this.#held.applyCopy(copy, this.#now());
   }
 
   async #moveStandby(
@@ -329,7 +329,7 @@
   #takeOverFromDead(): void {
     for (const member of this.#members) {
       if (member.state === "dead") {
-        void this.#takeOver(this.#held.heldFor(member.name));
+        void this.#takeOver(this.#held.unfinishedCopiesOf(member.name));
       }
     }
   }
@@ -354,7 +354,7 @@
 
   /** Asks the ledger to make this entry the owner of what it holds. */
   async #takeOver(held: readonly StandbyCopy[]): Promise<void> {
-    const copies = held.filter((copy) => !copy.takingOver);
+    const copies = held.filter((copy) => !copy.isTakingOver);
     if (copies.length === 0) {
       return;
     }
--- a/apps/heroncleatd/entry/to_routed_request.ts
+++ b/apps/heroncleatd/entry/to_routed_request.ts
@@ -1,4 +1,4 @@
-import { prefixBlocks, type RoutedRequest } from "@heroncleat/routing";
+import { hashPrefixBlocks, type RoutedRequest } from "@heroncleat/routing";
 import type { RequestRecord } from "@heroncleat/schema";
 import { promptText } from "./prompt_text.ts";
 
@@ -14,7 +14,7 @@
     service: "",
     method: "POST",
     path: "",
-    prefix: prefixBlocks(promptText(record.body), chainHash),
+    prefix: hashPrefixBlocks(promptText(record.body), chainHash),
     promptTokens: record.promptTokens,
     exclude: [],
   };
--- a/packages/admission/admission.ts
+++ b/packages/admission/admission_controller.ts
@@ -4,27 +4,27 @@
 import type { AdmissionDecision } from "./admission_decision.ts";
 import type { AdmissionRequest } from "./admission_request.ts";
 import type { AdmissionSettings } from "./admission_settings.ts";
-import { ServiceTime } from "./service_time.ts";
+import { ServiceTimeEstimate } from "./service_time_estimate.ts";
 import { WorkspaceQueue } from "./workspace_queue.ts";
 
-/** An admitted request. */
 type RunningRequest = {
   readonly workspace: string;
   readonly startedAt: Milliseconds;
 };
 
 /**
- * Decides which requests run, wait or are refused at one entry for one model
- * or service. Workspaces share by weight (start-time fair queueing); among
- * those that are not ahead of their share, the more urgent request goes first.
+ * Decides which requests run, wait or are refused at one entry, for one model
+ * or service. Capacity is divided among workspaces by weight (start-time fair
+ * queueing). Among the workspaces within the burst, the one with the most
+ * urgent request goes first.
  *
  * @public
  */
-export class Admission {
+export class AdmissionController {
   readonly #settings: AdmissionSettings;
   readonly #workspaces = new Map<string, WorkspaceQueue>();
   readonly #running = new Map<string, RunningRequest>();
-  readonly #serviceTime = new ServiceTime();
+  readonly #serviceTime = new ServiceTimeEstimate();
   #limits: Readonly<Record<string, Limit>> = {};
   #capacity = 0;
   #queued = 0;
@@ -41,7 +41,7 @@
     return this.#queued;
   }
 
-  /** Sets how many requests may run at once. */
+  /** Sets the number of requests that may run concurrently. */
   setCapacity(capacity: number): void {
     this.#capacity = capacity;
   }
@@ -50,14 +50,15 @@
     this.#limits = limits;
   }
 
+  /** Admits, queues or refuses a new request. */
   offer(request: AdmissionRequest, now: Milliseconds): AdmissionDecision {
     const queue = this.#queueOf(request.workspace);
     if (isIdle(queue)) {
-      // An idle workspace earns no credit for the time it asked for nothing.
-      queue.virtualTime = Math.max(queue.virtualTime, this.#leastTime());
+      // An idle workspace earns no credit for the time it sent no requests.
+      queue.virtualTime = Math.max(queue.virtualTime, this.#minVirtualTime());
     }
-    const direct = this.#queued === 0 && this.#mayRun(request.workspace);
-    if (direct) {
+    const canStartNow = this.#queued === 0 && this.#canRun(request.workspace);
+    if (canStartNow) {
       this.#start(request, { queue, now });
       return { kind: "admitted" };
     }
@@ -65,7 +66,7 @@
     if (fault !== undefined) {
       return { kind: "refused", fault };
     }
-    const latestStart = now + this.#settings.mostWait[request.priority];
+    const latestStart = now + this.#settings.maxWait[request.priority];
     queue.add({
       ...request,
       deadlineAt: Math.min(request.deadlineAt, latestStart),
@@ -74,7 +75,7 @@
     return { kind: "queued" };
   }
 
-  /** Notes that a request ended. */
+  /** Frees the place of a request that ended. */
   release(token: string, now: Milliseconds): void {
     const running = this.#running.get(token);
     if (running === undefined) {
@@ -82,20 +83,20 @@
     }
     this.#running.delete(token);
     this.#queueOf(running.workspace).running -= 1;
-    this.#serviceTime.ended(now - running.startedAt);
+    this.#serviceTime.recordDuration(now - running.startedAt);
   }
 
-  /** Takes a queued request back. */
+  /** Removes a request from the queue. */
   withdraw(token: string): void {
     this.#removeWhere((request) => request.token === token);
   }
 
-  /** Removes the requests that can't be answered in time any more. */
+  /** Removes and returns the queued requests whose deadline has passed. */
   expire(now: Milliseconds): AdmissionRequest[] {
     return this.#removeWhere((request) => request.deadlineAt <= now);
   }
 
-  /** Starts what may run now, in order. */
+  /** Starts queued requests while there is capacity and returns them. */
   startNext(now: Milliseconds): AdmissionRequest[] {
     const started: AdmissionRequest[] = [];
     while (this.#queued > 0 && this.#running.size < this.#capacity) {
@@ -104,7 +105,7 @@
         return started;
       }
       const queue = this.#queueOf(workspace);
-      const request = queue.takeHead()!;
+      const request = queue.removeHead()!;
       this.#queued -= 1;
       this.#start(request, { queue, now });
       started.push(request);
@@ -112,18 +113,18 @@
     return started;
   }
 
-  /** Virtual time of the active workspace that is furthest behind. */
-  #leastTime(): number {
-    let least = Infinity;
+  /** Returns the lowest virtual time of the active workspaces. */
+  #minVirtualTime(): number {
+    let minimum = Infinity;
     for (const queue of this.#workspaces.values()) {
       if (!isIdle(queue)) {
-        least = Math.min(least, queue.virtualTime);
+        minimum = Math.min(minimum, queue.virtualTime);
       }
     }
-    return least === Infinity ? 0 : least;
+    return minimum === Infinity ? 0 : minimum;
   }
 
-  #mayRun(workspace: string): boolean {
+  #canRun(workspace: string): boolean {
     const { maxRunning } = this.#limitOf(workspace);
     return this.#running.size < this.#capacity &&
       this.#queueOf(workspace).running < maxRunning;
@@ -142,22 +143,22 @@
   }
 
   #chooseWorkspace(): string | undefined {
-    const ready: { name: string; queue: WorkspaceQueue }[] = [];
-    let least = Infinity;
+    const eligible: { name: string; queue: WorkspaceQueue }[] = [];
+    let minimum = Infinity;
     for (const [name, queue] of this.#workspaces) {
-      if (queue.size > 0 && this.#mayRun(name)) {
-        ready.push({ name, queue });
-        least = Math.min(least, queue.virtualTime);
+      if (queue.size > 0 && this.#canRun(name)) {
+        eligible.push({ name, queue });
+        minimum = Math.min(minimum, queue.virtualTime);
       }
     }
-    const inShare = ready.filter(({ queue }) =>
-      queue.virtualTime <= least + this.#settings.burst
+    const withinBurst = eligible.filter(({ queue }) =>
+      queue.virtualTime <= minimum + this.#settings.burst
     );
-    inShare.sort((left, right) =>
-      left.queue.headRank() - right.queue.headRank() ||
+    withinBurst.sort((left, right) =>
+      left.queue.headPriorityRank() - right.queue.headPriorityRank() ||
       left.queue.virtualTime - right.queue.virtualTime
     );
-    return inShare[0]?.name;
+    return withinBurst[0]?.name;
   }
 
   #findRefusal(
@@ -166,64 +167,71 @@
   ): Fault | undefined {
     const { queue, now } = options;
     if (this.#capacity === 0) {
-      return this.#refuse(
+      return this.#buildRefusal(
         "no_upstream",
-        "No upstream takes work for this model or service now",
+        "No upstream accepts requests for this model or service now",
       );
     }
     if (this.#queued >= this.#settings.maxQueued) {
-      return this.#refuse("overloaded", "The queue of this entry is full");
+      return this.#buildRefusal(
+        "overloaded",
+        "The queue of this entry is full",
+      );
     }
     if (queue.size >= this.#limitOf(request.workspace).maxQueued) {
-      return this.#refuse(
+      return this.#buildRefusal(
         "overloaded",
-        `Workspace ${request.workspace} has its whole queue in use`,
+        `The queue of workspace ${request.workspace} is full`,
       );
     }
     const wait = this.#expectedWait(queue, request.workspace);
     if (now + wait > request.deadlineAt) {
-      return this.#refuse(
+      return this.#buildRefusal(
         "overloaded",
-        "The answer would come after the deadline",
+        "The expected wait exceeds the deadline",
       );
     }
-    return wait > this.#settings.mostWait[request.priority]
-      ? this.#refuse("overloaded", "The answer would start too late to be used")
+    return wait > this.#settings.maxWait[request.priority]
+      ? this.#buildRefusal(
+        "overloaded",
+        "The expected wait exceeds the limit for the priority",
+      )
       : undefined;
   }
 
   /**
-   * Wait of a request at the end of a workspace's queue, which moves at the
-   * pace of its share. A workspace that is behind the others and has none
-   * waiting gets the next free place.
+   * Estimates the wait at the end of a workspace's queue, which drains at the
+   * rate of the workspace's share. A workspace with an empty queue and the
+   * lowest virtual time gets the next free place.
    */
   #expectedWait(queue: WorkspaceQueue, workspace: string): Milliseconds {
     const share = this.#shareOf(workspace);
-    const isNext = queue.size === 0 && queue.virtualTime <= this.#leastTime();
-    const ahead = isNext ? 1 : (queue.size + 1) / share;
-    return this.#serviceTime.timeFor(ahead, this.#capacity);
+    const isNext = queue.size === 0 &&
+      queue.virtualTime <= this.#minVirtualTime();
+    const requests = isNext ? 1 : (queue.size + 1) / share;
+    return this.#serviceTime.estimateDrainTime(requests, this.#capacity);
   }
 
-  /** Part of the capacity that a workspace gets while others wait too. */
+  /** Returns the share of the capacity due to a workspace, by weight. */
   #shareOf(workspace: string): number {
-    const own = this.#limitOf(workspace).weight;
+    const weight = this.#limitOf(workspace).weight;
     let total = 0;
     for (const [name, queue] of this.#workspaces) {
       if (queue.size > 0 || queue.running > 0 || name === workspace) {
         total += this.#limitOf(name).weight;
       }
     }
-    return own / Math.max(own, total);
+    return weight / Math.max(weight, total);
   }
 
-  #refuse(kind: "no_upstream" | "overloaded", cause: string): Fault {
+  #buildRefusal(kind: "no_upstream" | "overloaded", cause: string): Fault {
     const retryAfter = Math.max(
-      this.#settings.leastRetryAfter,
-      this.#serviceTime.timeFor(this.#queued, this.#capacity),
+      this.#settings.minRetryAfter,
+      this.#serviceTime.estimateDrainTime(this.#queued, this.#capacity),
     );
     return createFault(
       kind,
-      `${cause}. Remedy: come back after the time in Retry-After.`,
+      `${cause}. Remedy: retry after the time in Retry-After.`,
       { retryAfter },
     );
   }
@@ -248,11 +256,11 @@
   }
 
   #removeWhere(
-    gone: (request: AdmissionRequest) => boolean,
+    shouldRemove: (request: AdmissionRequest) => boolean,
   ): AdmissionRequest[] {
     const removed: AdmissionRequest[] = [];
     for (const queue of this.#workspaces.values()) {
-      removed.push(...queue.removeWhere(gone));
+      removed.push(...queue.removeWhere(shouldRemove));
     }
     this.#queued -= removed.length;
     return removed;
--- a/packages/admission/admission_decision.ts
+++ b/packages/admission/admission_decision.ts
@@ -1,6 +1,10 @@
 import type { Fault } from "@heroncleat/base";
 
-/** What becomes of an offered request. @public */
+/**
+ * The outcome of a request at admission.
+ *
+ * @public
+ */
 export type AdmissionDecision =
   | { readonly kind: "admitted" }
   | { readonly kind: "queued" }
--- a/packages/admission/admission_settings.ts
+++ b/packages/admission/admission_settings.ts
@@ -1,24 +1,28 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { Priority } from "@heroncleat/schema";
 
-/** Settings of admission to one model or service. @public */
+/**
+ * Settings of admission to one model or service.
+ *
+ * @public
+ */
 export type AdmissionSettings = {
-  /** Requests queued in all. */
+  /** Queued requests of all workspaces. */
   readonly maxQueued: number;
-  /** Limits of a workspace that the configuration doesn't name. */
+  /** The defaults apply to workspaces without a configured limit. */
   readonly defaultWeight: number;
   readonly defaultMaxRunning: number;
   readonly defaultMaxQueued: number;
   /**
-   * Served work, divided by weight, that a workspace may be ahead of the
-   * furthest behind and still go first by priority.
+   * Virtual time, in requests divided by weight, that a workspace may be ahead
+   * of the one furthest behind and still go first by priority.
    */
   readonly burst: number;
   /**
-   * Longest wait in the queue by priority: an answer that starts later is of
-   * little use, and its place serves another request in time.
+   * Longest wait in the queue by priority. A response that starts later is of
+   * little use, so its place goes to a request that can still be on time.
    */
-  readonly mostWait: Readonly<Record<Priority, Milliseconds>>;
-  /** Shortest time a refused caller is told to wait. */
-  readonly leastRetryAfter: Milliseconds;
+  readonly maxWait: Readonly<Record<Priority, Milliseconds>>;
+  /** Lower bound of the retry delay sent to refused callers. */
+  readonly minRetryAfter: Milliseconds;
 };
--- a/packages/admission/admission_test.ts
+++ b/packages/admission/admission_test.ts
@@ -1,11 +1,11 @@
 import { createSeededRandom } from "@heroncleat/base";
 import * as fc from "fast-check";
-import { Admission, ADMISSION_DEFAULTS, RetryBudget } from "./mod.ts";
+import { ADMISSION_DEFAULTS, AdmissionController, RetryBudget } from "./mod.ts";
 
-type Offer = Parameters<Admission["offer"]>[0];
+type Offer = Parameters<AdmissionController["offer"]>[0];
 
-function createAdmission(capacity: number): Admission {
-  const admission = new Admission(ADMISSION_DEFAULTS);
+function createAdmission(capacity: number): AdmissionController {
+  const admission = new AdmissionController(ADMISSION_DEFAULTS);
   admission.setCapacity(capacity);
   return admission;
 }
@@ -20,7 +20,7 @@
   };
 }
 
-describe("admission", () => {
+describe("AdmissionController", () => {
   test("starts the more urgent request first within a workspace", () => {
     const admission = createAdmission(1);
     admission.offer(offer("running"), 0);
@@ -31,18 +31,18 @@
       .toEqual(["icebreaker"]);
   });
 
-  test("gives the smallest workspace its share beside a large one", () => {
+  test("gives a small workspace its share beside a large one", () => {
     const admission = createAdmission(4);
     const served = new Map<string, number>();
     const running: string[] = [];
-    const note = (token: string) => {
+    const recordStart = (token: string) => {
       running.push(token);
       const workspace = token.split("-")[0]!;
       served.set(workspace, (served.get(workspace) ?? 0) + 1);
     };
     for (let n = 0; n < 400; n += 1) {
       const workspace = n % 10 === 0 ? "small" : "large";
-      // The large one calls everything urgent, which must not help it.
+      // A higher priority must not raise the share of the large workspace.
       const priority = workspace === "large" ? "icebreaker" : "draft";
       const token = `${workspace}-${n}`;
       const decision = admission.offer(
@@ -50,19 +50,19 @@
         n,
       );
       if (decision.kind === "admitted") {
-        note(token);
+        recordStart(token);
       }
     }
     for (let step = 0; step < 60; step += 1) {
       admission.release(running.shift()!, 400 + step);
       for (const { token } of admission.startNext(400 + step)) {
-        note(token);
+        recordStart(token);
       }
     }
     expect(served.get("small")).toBeGreaterThan(20);
   });
 
-  test("follows the weights of workspaces", () => {
+  test("divides capacity by the weights of the workspaces", () => {
     const admission = createAdmission(1);
     const limit = (workspace: string, weight: number) => ({
       workspace,
@@ -87,7 +87,7 @@
     expect(fromA / 80).toBeLessThan(0.8);
   });
 
-  test("lets the smallest workspace in while a large one is refused", () => {
+  test("queues a small workspace while a large one is refused", () => {
     const admission = createAdmission(10);
     for (let n = 0; n < 10; n += 1) {
       admission.offer(offer(`large-${n}`, { workspace: "large" }), 0);
@@ -107,7 +107,7 @@
     expect(more.at(-1)).toBe("refused");
   });
 
-  test("bounds the largest workspace and its queue", () => {
+  test("limits the running and queued requests of a workspace", () => {
     const admission = createAdmission(10);
     admission.setLimits({
       bistro: { workspace: "bistro", weight: 1, maxRunning: 2, maxQueued: 1 },
@@ -118,7 +118,7 @@
     expect(kinds).toEqual(["admitted", "admitted", "queued", "refused"]);
   });
 
-  test("refuses at once what can't be answered in time, with a time", () => {
+  test("refuses a request that can't meet its deadline, with a retry delay", () => {
     const admission = createAdmission(1);
     admission.offer(offer("a"), 0);
     admission.release("a", 1000);
@@ -134,7 +134,7 @@
     });
   });
 
-  test("queues no urgent request longer than its answer is of use", () => {
+  test("refuses or expires requests at the longest wait of their priority", () => {
     const admission = createAdmission(1);
     admission.offer(offer("a"), 0);
     admission.release("a", 1000);
@@ -147,7 +147,7 @@
     expect(admission.expire(21_000)).toHaveLength(1);
   });
 
-  test("is not misled by idle time about the length of the queue", () => {
+  test("excludes idle time from the expected wait", () => {
     const admission = createAdmission(1);
     admission.offer(offer("a"), 0);
     admission.release("a", 10);
@@ -161,8 +161,8 @@
     expect(decision.kind).toBe("queued");
   });
 
-  test("answers each request once, within capacity, in any order", () => {
-    let taken = 0;
+  test("starts each request at most once and stays within capacity", () => {
+    let stepCount = 0;
     const step = fc.tuple(fc.nat(5), fc.nat(3), fc.nat(50));
     fc.assert(
       fc.property(
@@ -173,14 +173,14 @@
           const waiting = new Set<string>();
           const running = new Set<string>();
           let now = 0;
-          for (const [kind, who, detail] of steps) {
-            taken += 1;
-            now += detail;
-            if (kind <= 2) {
-              const token = `t${taken}`;
+          for (const [action, workspaceIndex, value] of steps) {
+            stepCount += 1;
+            now += value;
+            if (action <= 2) {
+              const token = `t${stepCount}`;
               const decision = admission.offer(
                 offer(token, {
-                  workspace: `w${who}`,
+                  workspace: `w${workspaceIndex}`,
                   priority: random() < 0.5 ? "draft" : "guest",
                   deadlineAt: now + 200,
                 }),
@@ -191,11 +191,11 @@
               } else if (decision.kind === "queued") {
                 waiting.add(token);
               }
-            } else if (kind === 3) {
+            } else if (action === 3) {
               const [token] = running;
               running.delete(token ?? "");
               admission.release(token ?? "", now);
-            } else if (kind === 4) {
+            } else if (action === 4) {
               for (const { token } of admission.expire(now)) {
                 expect(waiting.delete(token)).toBe(true);
               }
@@ -216,17 +216,17 @@
       ),
       { numRuns: 250, seed: 6 },
     );
-    expect(taken).toBeGreaterThan(10_000);
+    expect(stepCount).toBeGreaterThan(10_000);
   });
 });
 
-describe("a retry budget", () => {
-  test("allows a share of first attempts and no more", () => {
+describe("RetryBudget", () => {
+  test("limits retries to a share of first attempts", () => {
     const budget = new RetryBudget(0.2, 0);
     let retries = 0;
     for (let n = 0; n < 100; n += 1) {
-      budget.firstAttempt();
-      retries += budget.take() ? 1 : 0;
+      budget.recordFirstAttempt();
+      retries += budget.tryConsume() ? 1 : 0;
     }
     expect(retries).toBeGreaterThanOrEqual(19);
     expect(retries).toBeLessThanOrEqual(20);
--- a/packages/admission/entry_capacity.ts
+++ b/packages/admission/entry_capacity.ts
@@ -1,23 +1,23 @@
-/** What an entry knows of the slots that it shares with others. */
-type SharedSlots = {
+/** Slots shared by several entries, as one of them sees them. */
+type SlotUsage = {
   readonly slots: number;
-  /** Slots that are likely free, whoever used the others. */
+  /** Estimated free slots across all entries. */
   readonly freeSlots: number;
-  /** Requests that this entry has running. */
+  /** Running requests of this entry. */
   readonly running: number;
   readonly entries: number;
 };
 
 /**
- * Requests an entry may have running: its even share of all slots, and beyond
- * that its share of those that are free now. A fixed overcommitment would
- * move the queue to the upstreams, where nobody's turn is kept.
+ * Returns the number of requests an entry may run: its even share of all
+ * slots, or more when slots are free. A fixed overcommitment would move the
+ * queue to the upstreams, which apply neither priorities nor fair shares.
  *
  * @public
  */
-export function entryCapacity(shared: SharedSlots): number {
-  const { slots, freeSlots, running, entries } = shared;
-  const even = Math.ceil(slots / entries);
+export function entryCapacity(usage: SlotUsage): number {
+  const { slots, freeSlots, running, entries } = usage;
+  const evenShare = Math.ceil(slots / entries);
   const borrowed = Math.floor(freeSlots / entries);
-  return Math.max(even, running + borrowed);
+  return Math.max(evenShare, running + borrowed);
 }
--- a/packages/admission/retry_budget.ts
+++ b/packages/admission/retry_budget.ts
@@ -1,31 +1,33 @@
-/** Retries that may be saved up. */
-const MOST_SAVED = 100;
+const MAX_SAVED_RETRIES = 100;
 
 /**
- * Bounds retries to a share of first attempts, so that failing upstreams
- * aren't sent a multiple of their load.
+ * Limits retries to a share of first attempts, so that retries can't multiply
+ * the load on failing upstreams.
  *
  * @public
  */
 export class RetryBudget {
   readonly #ratio: number;
-  #saved: number;
+  #savedRetries: number;
 
-  constructor(ratio: number, saved = 10) {
+  constructor(ratio: number, savedRetries = 10) {
     this.#ratio = ratio;
-    this.#saved = saved;
+    this.#savedRetries = savedRetries;
   }
 
-  firstAttempt(): void {
-    this.#saved = Math.min(MOST_SAVED, this.#saved + this.#ratio);
+  recordFirstAttempt(): void {
+    this.#savedRetries = Math.min(
+      MAX_SAVED_RETRIES,
+      this.#savedRetries + this.#ratio,
+    );
   }
 
-  /** Takes one retry from the budget; says whether there was one. */
-  take(): boolean {
-    if (this.#saved < 1) {
+  /** Consumes one retry; returns false if the budget is exhausted. */
+  tryConsume(): boolean {
+    if (this.#savedRetries < 1) {
       return false;
     }
-    this.#saved -= 1;
+    this.#savedRetries -= 1;
     return true;
   }
 }
--- a/packages/admission/workspace_queue.ts
+++ b/packages/admission/workspace_queue.ts
@@ -1,8 +1,7 @@
 import type { Priority } from "@heroncleat/schema";
 import type { AdmissionRequest } from "./admission_request.ts";
 
-/** Priorities, the most urgent first. */
-const PRIORITIES: readonly Priority[] = [
+const PRIORITIES_BY_URGENCY: readonly Priority[] = [
   "icebreaker",
   "guest",
   "notice",
@@ -10,15 +9,15 @@
 ];
 
 /**
- * The queued requests of one workspace, by priority and then by arrival.
+ * The queue of one workspace, ordered by priority and then by arrival.
  *
  * @internal
  */
 export class WorkspaceQueue {
-  /** Served requests divided by weight, on the scale shared by all. */
+  /** Started requests divided by weight, comparable across workspaces. */
   virtualTime = 0;
   running = 0;
-  readonly #lanes = new Map<Priority, AdmissionRequest[]>();
+  readonly #requestsByPriority = new Map<Priority, AdmissionRequest[]>();
   #size = 0;
 
   get size(): number {
@@ -26,25 +25,25 @@
   }
 
   add(request: AdmissionRequest): void {
-    const lane = this.#lanes.get(request.priority);
-    if (lane === undefined) {
-      this.#lanes.set(request.priority, [request]);
+    const requests = this.#requestsByPriority.get(request.priority);
+    if (requests === undefined) {
+      this.#requestsByPriority.set(request.priority, [request]);
     } else {
-      lane.push(request);
+      requests.push(request);
     }
     this.#size += 1;
   }
 
-  /** Rank of the most urgent queued request; 0 is the most urgent. */
-  headRank(): number {
-    return PRIORITIES.findIndex((priority) =>
-      (this.#lanes.get(priority)?.length ?? 0) > 0
+  /** Returns the rank of the most urgent queued request; 0 ranks first. */
+  headPriorityRank(): number {
+    return PRIORITIES_BY_URGENCY.findIndex((priority) =>
+      (this.#requestsByPriority.get(priority)?.length ?? 0) > 0
     );
   }
 
-  takeHead(): AdmissionRequest | undefined {
-    for (const priority of PRIORITIES) {
-      const head = this.#lanes.get(priority)?.shift();
+  removeHead(): AdmissionRequest | undefined {
+    for (const priority of PRIORITIES_BY_URGENCY) {
+      const head = this.#requestsByPriority.get(priority)?.shift();
       if (head !== undefined) {
         this.#size -= 1;
         return head;
@@ -53,14 +52,17 @@
     return undefined;
   }
 
-  /** Removes and returns the requests for which `gone` holds. */
+  /** Removes and returns the requests that match the predicate. */
   removeWhere(
-    gone: (request: AdmissionRequest) => boolean,
+    shouldRemove: (request: AdmissionRequest) => boolean,
   ): AdmissionRequest[] {
     const removed: AdmissionRequest[] = [];
-    for (const [priority, lane] of this.#lanes) {
-      removed.push(...lane.filter(gone));
-      this.#lanes.set(priority, lane.filter((request) => !gone(request)));
+    for (const [priority, requests] of this.#requestsByPriority) {
+      removed.push(...requests.filter(shouldRemove));
+      this.#requestsByPriority.set(
+        priority,
+        requests.filter((request) => !shouldRemove(request)),
+      );
     }
     this.#size -= removed.length;
     return removed;
--- a/packages/bench/golden_sessions_test.ts
+++ b/packages/bench/golden_sessions_test.ts
@@ -5,7 +5,7 @@
 import { Replica, type ReplicaEffect } from "@heroncleat/consensus";
 import { Ledger } from "@heroncleat/ledger";
 import {
-  createReclaimChoice,
+  createReclaimPolicy,
   OwnedRequest,
   type RequestEffect,
   StandbyStore,
@@ -121,9 +121,9 @@
     copyTimeout: 400,
     handOverTimeout: 2000,
     idleTimeout: 5000,
-    retryPause: 100,
-    mostAttempts: 10,
-    chooseOnReclaim: createReclaimChoice({
+    retryDelay: 100,
+    maxAttempts: 10,
+    chooseReclaimAction: createReclaimPolicy({
       decodeInterval: 20,
       transferRate: 20_000,
       prefillRate: 1000,
@@ -141,7 +141,7 @@
       switch (effect.kind) {
         case "copy":
           time.schedule(() => {
-            const reply = standby.take(effect.message, time.now);
+            const reply = standby.applyCopy(effect.message, time.now);
             const { number } = effect;
             time.schedule(
               () => drive({ kind: "copy_answered", number, reply }),
@@ -202,7 +202,7 @@
         kvTransfer: kvSource !== "",
         onToken: (text) => {
           const piece = { text, tokens: 1 };
-          drive({ kind: "piece", attempt, place, piece });
+          drive({ kind: "piece", attempt, position: place, piece });
           place += 1;
         },
         onEnd: ({ reason }) =>
@@ -268,8 +268,8 @@
 test("an operator moves the traffic in steps and drains the old place", () => {
   const configuration = new Configuration();
   const router = new Router(ROUTING_DEFAULTS, { entry: "entry-1", hash });
-  router.upstreamChanged(announcement("old-1", { labels: { at: "old" } }), 0);
-  router.upstreamChanged(announcement("new-1", { labels: { at: "new" } }), 0);
+  router.updateUpstream(announcement("old-1", { labels: { at: "old" } }), 0);
+  router.updateUpstream(announcement("new-1", { labels: { at: "new" } }), 0);
   const lines: string[] = [];
   const group = (
     name: string,
@@ -308,7 +308,7 @@
       if (decision.kind === "chosen") {
         const { upstream } = decision.choice;
         counts[upstream]! += 1;
-        router.ended(upstream, { token, outcome: "succeeded", now: 2 });
+        router.recordEnd(upstream, { token, outcome: "succeeded", now: 2 });
       }
     }
     lines.push(
--- a/packages/bench/policy/policies.ts
+++ b/packages/bench/policy/policies.ts
@@ -1,7 +1,7 @@
 import {
   chooseLeastLoaded,
-  chooseRoundRobin,
-  chooseWeighted,
+  createRoundRobinPolicy,
+  createWeightedPolicy,
 } from "@heroncleat/routing";
 import type { Policy } from "./policy.ts";
 
@@ -9,19 +9,19 @@
 export const POLICIES = {
   cost: {
     name: "heroncleat, cost first",
-    choose: () => chooseWeighted("cost"),
+    choose: () => createWeightedPolicy("cost"),
     restarts: false,
     onDemandOnly: false,
   },
   recompute: {
     name: "heroncleat, recompute first",
-    choose: () => chooseWeighted("recompute"),
+    choose: () => createWeightedPolicy("recompute"),
     restarts: false,
     onDemandOnly: false,
   },
   roundRobin: {
     name: "round robin",
-    choose: () => chooseRoundRobin(),
+    choose: () => createRoundRobinPolicy(),
     restarts: false,
     onDemandOnly: false,
   },
@@ -33,13 +33,13 @@
   },
   restart: {
     name: "restart from scratch",
-    choose: () => chooseWeighted("cost"),
+    choose: () => createWeightedPolicy("cost"),
     restarts: true,
     onDemandOnly: false,
   },
   onDemand: {
     name: "on-demand only",
-    choose: () => chooseWeighted("cost"),
+    choose: () => createWeightedPolicy("cost"),
     restarts: false,
     onDemandOnly: true,
   },
--- a/packages/bench/policy/simulated_entry.ts
+++ b/packages/bench/policy/simulated_entry.ts
@@ -1,20 +1,20 @@
 import { createHash } from "node:crypto";
 import {
-  Admission,
   ADMISSION_DEFAULTS,
+  AdmissionController,
   entryCapacity,
   RetryBudget,
 } from "@heroncleat/admission";
 import {
-  createReclaimChoice,
-  isPaceSample,
+  createReclaimPolicy,
+  isTokenIntervalSample,
   OwnedRequest,
   ReclaimAction,
   type RequestEffect,
   type RequestEvent,
 } from "@heroncleat/requests";
 import {
-  prefixBlocks,
+  hashPrefixBlocks,
   type RoutedRequest,
   Router,
   ROUTING_DEFAULTS,
@@ -83,7 +83,7 @@
 export class SimulatedEntry {
   readonly #options: EntryOptions;
   readonly #router: Router;
-  readonly #admission = new Admission(ADMISSION_DEFAULTS);
+  readonly #admission = new AdmissionController(ADMISSION_DEFAULTS);
   readonly #budget = new RetryBudget(0.2);
   readonly #queued = new Map<string, SimulatedRequest>();
   readonly #running = new Map<string, RunningRequest>();
@@ -97,7 +97,7 @@
       choose: options.policy.choose(),
     });
     this.#router.configure(VIEW);
-    this.#router.setSharers(options.entries);
+    this.#router.setEntryCount(options.entries);
   }
 
   get unfinished(): number {
@@ -110,7 +110,7 @@
 
   receive(announcement: Announcement): void {
     const { time } = this.#options;
-    this.#router.upstreamChanged(announcement, time.now);
+    this.#router.updateUpstream(announcement, time.now);
     this.#refreshCapacity();
     if (announcement.state === "leaving") {
       for (const running of [...this.#running.values()]) {
@@ -124,19 +124,19 @@
   }
 
   lapse(name: string): void {
-    this.#router.upstreamLapsed(name);
+    this.#router.removeUpstream(name);
     this.#refreshCapacity();
   }
 
   hearCache(name: string, sequence: number, blocks: string[]): void {
-    this.#router.cacheChanged(name, { sequence, kind: "stored", blocks });
+    this.#router.applyCacheEvent(name, { sequence, kind: "stored", blocks });
   }
 
   /** The VM is gone; its streams break. */
   breakStreams(name: string): void {
     for (const running of [...this.#running.values()]) {
       if (running.upstream === name) {
-        const attempt = running.owned.attempts;
+        const attempt = running.owned.attemptCount;
         this.#drive(running, {
           kind: "attempt_failed",
           attempt,
@@ -221,11 +221,11 @@
         copyTimeout: 400,
         handOverTimeout: 2000,
         idleTimeout: IDLE_TIMEOUT,
-        retryPause: RETRY_PAUSE,
-        mostAttempts: MOST_ATTEMPTS,
-        chooseOnReclaim: policy.restarts
+        retryDelay: RETRY_PAUSE,
+        maxAttempts: MOST_ATTEMPTS,
+        chooseReclaimAction: policy.restarts
           ? () => ReclaimAction.resume
-          : createReclaimChoice(RECLAIM_RATES),
+          : createReclaimPolicy(RECLAIM_RATES),
       },
       start: {
         pieces: [],
@@ -245,7 +245,7 @@
         service: "",
         method: "POST",
         path: "",
-        prefix: prefixBlocks(request.prompt, chain),
+        prefix: hashPrefixBlocks(request.prompt, chain),
         promptTokens: request.words,
         exclude: [],
       },
@@ -305,7 +305,7 @@
     this.#endAttempt(running, "failed");
     const isRetry = effect.exclude.length > 0;
     if (!isRetry) {
-      this.#budget.firstAttempt();
+      this.#budget.recordFirstAttempt();
     }
     const token = `${running.request.id}#${effect.attempt}`;
     const request = { ...running.routed, exclude: effect.exclude };
@@ -367,12 +367,17 @@
         if (place === 0) {
           running.attemptFirstAt = this.#options.time.now;
         }
-        if (place > 0 && isPaceSample(place)) {
+        if (place > 0 && isTokenIntervalSample(place)) {
           const taken = this.#options.time.now - running.attemptFirstAt;
-          this.#router.betweenTokens(running.upstream, taken / place);
+          this.#router.recordTokenInterval(running.upstream, taken / place);
         }
         const piece = { text, tokens: 1 };
-        this.#drive(running, { kind: "piece", attempt, place, piece });
+        this.#drive(running, {
+          kind: "piece",
+          attempt,
+          position: place,
+          piece,
+        });
       },
       onEnd: ({ reason }) =>
         this.#drive(running, {
@@ -389,7 +394,7 @@
     for (let n = 0; n < count; n += 1) {
       if (running.firstAt === 0) {
         running.firstAt = time.now;
-        this.#router.firstToken(running.upstream, {
+        this.#router.recordFirstToken(running.upstream, {
           measured: time.now - running.dispatchedAt,
           estimated: running.estimated,
         });
@@ -411,7 +416,7 @@
     running.token = "";
     this.#options.findVm(upstream)?.engine.cancel(token);
     const { now } = this.#options.time;
-    this.#router.ended(upstream, { token, outcome, now });
+    this.#router.recordEnd(upstream, { token, outcome, now });
   }
 
   #finish(running: RunningRequest): void {
--- a/packages/bench/slopes/request_slope.ts
+++ b/packages/bench/slopes/request_slope.ts
@@ -38,7 +38,7 @@
       bytes += drive(request, standby, {
         kind: "piece",
         attempt: 1,
-        place,
+        position: place,
         piece,
       });
     }
@@ -67,7 +67,7 @@
     }
     const text = JSON.stringify(effect.message);
     bytes += text.length;
-    const reply = standby.take(JSON.parse(text), 1);
+    const reply = standby.applyCopy(JSON.parse(text), 1);
     const { number } = effect;
     bytes += drive(request, standby, { kind: "copy_answered", number, reply });
   }
@@ -95,9 +95,9 @@
       copyTimeout: 400,
       handOverTimeout: 2000,
       idleTimeout: 5000,
-      retryPause: 100,
-      mostAttempts: 10,
-      chooseOnReclaim: () => ReclaimAction.resume,
+      retryDelay: 100,
+      maxAttempts: 10,
+      chooseReclaimAction: () => ReclaimAction.resume,
     },
     start: {
       pieces: [],
--- a/packages/bench/slopes/routing_slope.ts
+++ b/packages/bench/slopes/routing_slope.ts
@@ -30,7 +30,11 @@
     }, { token, now: place });
     if (decision.kind === "chosen") {
       const { upstream } = decision.choice;
-      router.ended(upstream, { token, outcome: "succeeded", now: place + 1 });
+      router.recordEnd(upstream, {
+        token,
+        outcome: "succeeded",
+        now: place + 1,
+      });
     }
   };
   for (let place = 0; place < REQUESTS / 10; place += 1) {
@@ -61,7 +65,7 @@
     labels: {},
   });
   for (let place = 0; place < upstreams; place += 1) {
-    router.upstreamChanged({
+    router.updateUpstream({
       name: `engine-${place}`,
       address: `engine-${place}:1`,
       incarnation: 1,
--- a/packages/requests/attempt_sequence.ts
+++ b/packages/requests/attempt_sequence.ts
@@ -45,19 +45,19 @@
   }
 
   /** Pieces dropped because their attempt or place wasn't the expected one. */
-  get dropped(): number {
+  get droppedChunks(): number {
     return this.#dropped;
   }
 
   get isExhausted(): boolean {
-    return this.#count >= this.#settings.mostAttempts;
+    return this.#count >= this.#settings.maxAttempts;
   }
 
   get wakeAt(): Milliseconds {
     return Math.min(
       this.#routeAt ?? Infinity,
-      (this.#attempt?.heardAt ?? Infinity) + this.#settings.idleTimeout,
-      this.#attempt?.leaveAt ?? Infinity,
+      (this.#attempt?.lastActivityAt ?? Infinity) + this.#settings.idleTimeout,
+      this.#attempt?.abandonAt ?? Infinity,
     );
   }
 
@@ -65,7 +65,7 @@
     return this.#attempt?.number === attempt;
   }
 
-  isAt(upstream: string): boolean {
+  isRunningAt(upstream: string): boolean {
     return this.#attempt?.upstream === upstream;
   }
 
@@ -77,10 +77,10 @@
       number: this.#count,
       upstream: "",
       kvSource,
-      received: 0,
-      heardAt: Infinity,
-      firstAt: 0,
-      leaveAt: Infinity,
+      receivedChunks: 0,
+      lastActivityAt: Infinity,
+      firstChunkAt: 0,
+      abandonAt: Infinity,
     };
     this.#push({
       kind: "route",
@@ -99,7 +99,7 @@
       return;
     }
     attempt.upstream = event.upstream;
-    attempt.heardAt = options.now;
+    attempt.lastActivityAt = options.now;
     this.#lastUpstream = event.upstream;
     this.#push({
       kind: "dispatch",
@@ -119,7 +119,7 @@
     this.#attempt = undefined;
     this.#count -= 1;
     this.#failedUpstreams = [];
-    this.#routeAt = now + this.#settings.retryPause;
+    this.#routeAt = now + this.#settings.retryDelay;
   }
 
   /** Whether it is time to ask for an upstream again. */
@@ -138,24 +138,28 @@
     if (attempt === undefined || attempt.upstream === "") {
       return false;
     }
-    const silent = now - attempt.heardAt >= this.#settings.idleTimeout;
-    return silent || now >= attempt.leaveAt;
+    const silent = now - attempt.lastActivityAt >= this.#settings.idleTimeout;
+    return silent || now >= attempt.abandonAt;
   }
 
   /** Whether a piece is the next one of the present attempt. */
-  takes(event: { attempt: number; place: number }, now: Milliseconds): boolean {
+  acceptChunk(
+    event: { attempt: number; position: number },
+    now: Milliseconds,
+  ): boolean {
     const attempt = this.#attempt;
     const expected = attempt !== undefined &&
-      attempt.number === event.attempt && attempt.received === event.place;
+      attempt.number === event.attempt &&
+      attempt.receivedChunks === event.position;
     if (!expected) {
       this.#dropped += 1;
       return false;
     }
-    if (attempt.received === 0) {
-      attempt.firstAt = now;
+    if (attempt.receivedChunks === 0) {
+      attempt.firstChunkAt = now;
     }
-    attempt.received += 1;
-    attempt.heardAt = now;
+    attempt.receivedChunks += 1;
+    attempt.lastActivityAt = now;
     return true;
   }
 
@@ -165,7 +169,7 @@
     if (attempt === undefined || attempt.number !== event.attempt) {
       return "ignored";
     }
-    if (attempt.received !== event.pieces) {
+    if (attempt.receivedChunks !== event.pieces) {
       return "broken";
     }
     this.#attempt = undefined;
@@ -185,19 +189,23 @@
    * Decides what a reclaim means for the present attempt. Returns nothing when
    * it stays, else where the next one may take the KV cache from.
    */
-  onLeaving(
+  onReclaim(
     reclaimIn: Milliseconds,
-    options: { tokensHeld: number; tokensLeft: number; now: Milliseconds },
+    options: {
+      contextTokens: number;
+      remainingTokens: number;
+      now: Milliseconds;
+    },
   ): string | undefined {
     const attempt = this.#attempt!;
-    const action = this.#settings.chooseOnReclaim({
+    const action = this.#settings.chooseReclaimAction({
       reclaimIn,
-      tokensHeld: options.tokensHeld,
-      tokensLeft: options.tokensLeft,
-      pace: paceOf(attempt),
+      contextTokens: options.contextTokens,
+      remainingTokens: options.remainingTokens,
+      tokenInterval: paceOf(attempt),
     });
     if (action === ReclaimAction.finish) {
-      attempt.leaveAt = options.now + reclaimIn;
+      attempt.abandonAt = options.now + reclaimIn;
       return undefined;
     }
     this.#kvSourceUntil = options.now + reclaimIn;
@@ -222,7 +230,8 @@
 }
 
 function paceOf(attempt: UpstreamAttempt): Milliseconds {
-  return attempt.received < 2
+  return attempt.receivedChunks < 2
     ? 0
-    : (attempt.heardAt - attempt.firstAt) / (attempt.received - 1);
+    : (attempt.lastActivityAt - attempt.firstChunkAt) /
+      (attempt.receivedChunks - 1);
 }
--- a/packages/requests/create_reclaim_choice.ts
+++ b/packages/requests/create_reclaim_policy.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from "@heroncleat/base";
 import { ReclaimAction } from "./reclaim_action.ts";
-import type { ReclaimChoice } from "./reclaim_choice.ts";
+import type { ReclaimPolicy } from "./reclaim_policy.ts";
 
 /** What the choice is worked out from. */
 type ReclaimRates = {
@@ -23,17 +23,17 @@
  *
  * @public
  */
-export function createReclaimChoice(rates: ReclaimRates): ReclaimChoice {
+export function createReclaimPolicy(rates: ReclaimRates): ReclaimPolicy {
   return (situation) => {
     const notice = situation.reclaimIn - rates.reserve;
     // A slow upstream must not be trusted to finish at the usual pace.
-    const pace = Math.max(rates.decodeInterval, situation.pace);
-    if (situation.tokensLeft * pace <= notice) {
+    const pace = Math.max(rates.decodeInterval, situation.tokenInterval);
+    if (situation.remainingTokens * pace <= notice) {
       return ReclaimAction.finish;
     }
-    const transfer = situation.tokensHeld / rates.transferRate *
+    const transfer = situation.contextTokens / rates.transferRate *
       MS_PER_SECOND;
-    const prefill = situation.tokensHeld / rates.prefillRate * MS_PER_SECOND;
+    const prefill = situation.contextTokens / rates.prefillRate * MS_PER_SECOND;
     if (transfer <= notice && transfer < prefill) {
       return ReclaimAction.transfer;
     }
--- a/packages/requests/custody_test.ts
+++ b/packages/requests/custody_test.ts
@@ -95,9 +95,9 @@
         copyTimeout: 50,
         handOverTimeout: 100,
         idleTimeout: 200,
-        retryPause: 20,
-        mostAttempts: 100_000,
-        chooseOnReclaim: () =>
+        retryDelay: 20,
+        maxAttempts: 100_000,
+        chooseReclaimAction: () =>
           this.random() < 0.5 ? ReclaimAction.resume : ReclaimAction.finish,
       },
       start: { ...start, finished: false, finishReason: "", now: this.now },
@@ -232,7 +232,10 @@
           this.tell(effect.to, owned, { kind: "custody_lost", owner });
           return;
         }
-        const reply = holder.store.take(structuredClone(message), this.now);
+        const reply = holder.store.applyCopy(
+          structuredClone(message),
+          this.now,
+        );
         later({ kind: "copy_answered", number: effect.number, reply });
       },
     });
@@ -246,7 +249,7 @@
     let place = 0;
     for (let at = effect.pieces.length; at < ANSWER_PIECES; at += 1) {
       const piece = { text: `${upstream}.${at}.${this.random()}`, tokens: 1 };
-      later({ kind: "piece", attempt, place, piece }, true);
+      later({ kind: "piece", attempt, position: place, piece }, true);
       place += 1;
     }
     const reason = "stop";
@@ -496,6 +499,6 @@
       world.carryOut("e1", owned, effect);
     }
     world.runOne(world.bag.length - 1, false);
-    expect(world.entries.get("e2")!.store.heldFor("e1")).toEqual([]);
+    expect(world.entries.get("e2")!.store.unfinishedCopiesOf("e1")).toEqual([]);
   });
 });
--- a/packages/requests/is_pace_sample.ts
+++ b/packages/requests/is_token_interval_sample.ts
@@ -8,6 +8,6 @@
  *
  * @public
  */
-export function isPaceSample(pieces: number): boolean {
+export function isTokenIntervalSample(pieces: number): boolean {
   return pieces === FIRST_SAMPLE || pieces % SAMPLE_INTERVAL === 0;
 }
--- a/packages/requests/owned_request.ts
+++ b/packages/requests/owned_request.ts
@@ -106,13 +106,13 @@
     return this.#attempts.lastUpstream;
   }
 
-  get attempts(): number {
+  get attemptCount(): number {
     return this.#attempts.count;
   }
 
   /** Pieces dropped because their attempt or place wasn't the expected one. */
-  get droppedPieces(): number {
-    return this.#attempts.dropped;
+  get droppedChunks(): number {
+    return this.#attempts.droppedChunks;
   }
 
   /** When a tick is next of use, on the clock of `now`. */
@@ -171,7 +171,7 @@
         return;
       case "standby_kept":
         if (this.#move === StandbyMove.moving) {
-          this.#moveAt = now + this.#settings.retryPause;
+          this.#moveAt = now + this.#settings.retryDelay;
         }
         return;
       case "custody_lost":
@@ -272,7 +272,7 @@
     this.#copyNumber += 1;
     this.#copy = {
       number: this.#copyNumber,
-      upTo: this.#pieces.length,
+      endIndex: this.#pieces.length,
       finished: this.#finished,
       sentAt: now,
     };
@@ -332,7 +332,7 @@
       return;
     }
     this.#needsWholeCopy = false;
-    this.#held = copy.upTo;
+    this.#held = copy.endIndex;
     this.#finishHeld = copy.finished;
     if (this.#move === StandbyMove.copying) {
       this.#moveStandby();
@@ -504,12 +504,12 @@
   #onPiece(
     event: {
       attempt: number;
-      place: number;
+      position: number;
       piece: Pick<TextPiece, "text" | "tokens">;
     },
     now: Milliseconds,
   ): void {
-    if (!this.#attempts.takes(event, now)) {
+    if (!this.#attempts.acceptChunk(event, now)) {
       return;
     }
     this.#pieces.push({ index: this.#pieces.length, ...event.piece });
@@ -557,13 +557,13 @@
     event: { upstream: string; reclaimIn: Milliseconds },
     now: Milliseconds,
   ): void {
-    if (!this.#attempts.isAt(event.upstream)) {
+    if (!this.#attempts.isRunningAt(event.upstream)) {
       return;
     }
     const tokens = this.#tokensEmitted();
-    const source = this.#attempts.onLeaving(event.reclaimIn, {
-      tokensHeld: this.#record.promptTokens + tokens,
-      tokensLeft: Math.max(0, this.#mostTokens() - tokens),
+    const source = this.#attempts.onReclaim(event.reclaimIn, {
+      contextTokens: this.#record.promptTokens + tokens,
+      remainingTokens: Math.max(0, this.#mostTokens() - tokens),
       now,
     });
     if (source !== undefined && this.#phase === RequestPhase.running) {
--- a/packages/requests/reclaim_choice.ts
+++ b/packages/requests/reclaim_policy.ts
@@ -2,6 +2,6 @@
 import type { ReclaimSituation } from "./reclaim_situation.ts";
 
 /** Chooses what to do with a stream whose upstream is leaving. @public */
-export type ReclaimChoice = (
+export type ReclaimPolicy = (
   situation: ReclaimSituation,
 ) => typeof ReclaimAction[keyof typeof ReclaimAction];
--- a/packages/requests/reclaim_situation.ts
+++ b/packages/requests/reclaim_situation.ts
@@ -5,9 +5,9 @@
   /** Time until the VM is taken. */
   readonly reclaimIn: Milliseconds;
   /** Tokens of the prompt and the answer so far. */
-  readonly tokensHeld: number;
+  readonly contextTokens: number;
   /** Tokens the answer may still have. */
-  readonly tokensLeft: number;
+  readonly remainingTokens: number;
   /** Time between tokens as it was here; 0 before the second token. */
-  readonly pace: Milliseconds;
+  readonly tokenInterval: Milliseconds;
 };
--- a/packages/requests/request_event.ts
+++ b/packages/requests/request_event.ts
@@ -32,7 +32,7 @@
     readonly kind: "piece";
     readonly attempt: number;
     /** Place within the attempt, from 0. */
-    readonly place: number;
+    readonly position: number;
     readonly piece: Pick<TextPiece, "text" | "tokens">;
   }
   | {
--- a/packages/requests/request_settings.ts
+++ b/packages/requests/request_settings.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from "@heroncleat/base";
-import type { ReclaimChoice } from "./reclaim_choice.ts";
+import type { ReclaimPolicy } from "./reclaim_policy.ts";
 
 /** Settings and policy of one owned request. @public */
 export type RequestSettings = {
@@ -12,9 +12,9 @@
   /** How long an upstream may stay silent. */
   readonly idleTimeout: Milliseconds;
   /** Pause before routing or moving the standby is tried again. */
-  readonly retryPause: Milliseconds;
+  readonly retryDelay: Milliseconds;
   /** Attempts before the request is given up. */
-  readonly mostAttempts: number;
+  readonly maxAttempts: number;
   /** Chooses what to do when the upstream is being reclaimed. */
-  readonly chooseOnReclaim: ReclaimChoice;
+  readonly chooseReclaimAction: ReclaimPolicy;
 };
--- a/packages/requests/standby_copy.ts
+++ b/packages/requests/standby_copy.ts
@@ -9,7 +9,7 @@
   finishReason: string;
   /** When the deadline passes, on this entry's clock. */
   deadlineAt: Milliseconds;
-  heardAt: Milliseconds;
+  lastUpdateAt: Milliseconds;
   /** Set while this entry asks the ledger to become the owner. */
-  takingOver: boolean;
+  isTakingOver: boolean;
 };
--- a/packages/requests/standby_store.ts
+++ b/packages/requests/standby_store.ts
@@ -31,12 +31,12 @@
   }
 
   /** Takes a copy from the owner. */
-  take(message: CopyMessage, now: Milliseconds): CopyReply {
+  applyCopy(message: CopyMessage, now: Milliseconds): CopyReply {
     const known = this.#copies.get(message.id);
     if (known === undefined) {
       return this.#takeFirst(message, now);
     }
-    if (known.takingOver || message.epoch < known.record.epoch) {
+    if (known.isTakingOver || message.epoch < known.record.epoch) {
       return reply("fenced", known);
     }
     if (message.record !== undefined) {
@@ -53,12 +53,12 @@
     }
     known.finished = message.finished;
     known.finishReason = message.finishReason;
-    known.heardAt = now;
+    known.lastUpdateAt = now;
     return reply("held", known);
   }
 
   /** Unfinished requests of an owner, which this entry should take over. */
-  heldFor(owner: string): StandbyCopy[] {
+  unfinishedCopiesOf(owner: string): StandbyCopy[] {
     return [...this.#copies.values()].filter((copy) =>
       copy.record.owner === owner && copy.record.standby === this.#self &&
       !copy.finished
@@ -68,14 +68,14 @@
   /** From now on the owner's copies are refused. */
   startTakeOver(copies: readonly StandbyCopy[]): void {
     for (const copy of copies) {
-      copy.takingOver = true;
+      copy.isTakingOver = true;
     }
   }
 
   /** The ledger could not be asked; the owner may go on for now. */
   cancelTakeOver(copies: readonly StandbyCopy[]): void {
     for (const copy of copies) {
-      copy.takingOver = false;
+      copy.isTakingOver = false;
     }
   }
 
@@ -90,7 +90,7 @@
     }
     if (outcome.moved && outcome.owner === this.#self) {
       this.#copies.delete(outcome.request);
-      copy.takingOver = false;
+      copy.isTakingOver = false;
       copy.record = { ...copy.record, ...holdersOf(outcome) };
       return copy;
     }
@@ -103,7 +103,7 @@
    * counts, so only a copy whose owner was replaced is dropped.
    */
   #keepUnlessReplaced(copy: StandbyCopy, outcome: CustodyOutcome): void {
-    copy.takingOver = false;
+    copy.isTakingOver = false;
     if (outcome.standby === this.#self) {
       copy.record = { ...copy.record, ...holdersOf(outcome) };
       return;
@@ -120,7 +120,7 @@
   /** Forgets finished copies after their retention, and overdue ones. */
   expire(now: Milliseconds): void {
     for (const [id, copy] of this.#copies) {
-      const since = copy.finished ? copy.heardAt : copy.deadlineAt;
+      const since = copy.finished ? copy.lastUpdateAt : copy.deadlineAt;
       if (now - since > this.#retention) {
         this.#copies.delete(id);
       }
@@ -137,8 +137,8 @@
       finished: message.finished,
       finishReason: message.finishReason,
       deadlineAt: now + message.record.deadline,
-      heardAt: now,
-      takingOver: false,
+      lastUpdateAt: now,
+      isTakingOver: false,
     };
     this.#copies.set(message.id, copy);
     return reply("held", copy);
--- a/packages/requests/upstream_attempt.ts
+++ b/packages/requests/upstream_attempt.ts
@@ -7,10 +7,10 @@
   upstream: string;
   readonly kvSource: string;
   /** Pieces received in this attempt. */
-  received: number;
-  heardAt: Milliseconds;
+  receivedChunks: number;
+  lastActivityAt: Milliseconds;
   /** When its first piece came. */
-  firstAt: Milliseconds;
+  firstChunkAt: Milliseconds;
   /** When to leave an upstream that is being reclaimed. */
-  leaveAt: Milliseconds;
+  abandonAt: Milliseconds;
 };
--- a/packages/routing/candidate.ts
+++ b/packages/routing/candidate.ts
@@ -1,10 +1,14 @@
 import type { Milliseconds } from "@heroncleat/base";
-import type { UpstreamModel } from "./upstream_model.ts";
+import type { UpstreamTracker } from "./upstream_tracker.ts";
 
-/** An upstream that may take a request, with what is expected there. @public */
+/**
+ * An upstream that can serve a request, with the estimates for that request.
+ *
+ * @public
+ */
 export type Candidate = {
-  readonly upstream: UpstreamModel;
-  readonly firstToken: Milliseconds;
+  readonly upstream: UpstreamTracker;
+  readonly estimatedFirstToken: Milliseconds;
   readonly cachedTokens: number;
   readonly uncachedTokens: number;
 };
--- a/packages/routing/choose_group.ts
+++ b/packages/routing/choose_group.ts
@@ -1,28 +1,29 @@
 import type { Group } from "@heroncleat/schema";
 
 /**
- * Picks the group for a request by share. The draw is taken from the request,
- * so that a retry comes to the same group.
+ * Picks a group with a probability proportional to its share. `hashFraction`
+ * is a hash of the request id, from 0 up to 1, so that retries of a request
+ * pick the same group. Draining groups and groups without a share are skipped.
  *
  * @public
  */
 export function chooseGroup(
   groups: readonly Group[],
-  draw: number,
+  hashFraction: number,
 ): Group | undefined {
-  const open = groups.filter((group) =>
+  const eligible = groups.filter((group) =>
     group.state !== "draining" && group.share > 0
   );
   let total = 0;
-  for (const group of open) {
+  for (const group of eligible) {
     total += group.share;
   }
-  let left = draw * total;
-  for (const group of open) {
-    left -= group.share;
-    if (left < 0) {
+  let remaining = hashFraction * total;
+  for (const group of eligible) {
+    remaining -= group.share;
+    if (remaining < 0) {
       return group;
     }
   }
-  return open.at(-1);
+  return eligible.at(-1);
 }
--- a/packages/routing/choose_least_loaded.ts
+++ b/packages/routing/choose_least_loaded.ts
@@ -1,15 +1,19 @@
 import type { Candidate } from "./candidate.ts";
-import type { CandidateChoice } from "./candidate_choice.ts";
+import type { LoadBalancingPolicy } from "./load_balancing_policy.ts";
 
-/** Baseline: the upstream with the lowest load for its size. @public */
-export const chooseLeastLoaded: CandidateChoice = (candidates) => {
-  const share = ({ upstream }: Candidate) =>
+/**
+ * Baseline policy: the upstream with the lowest load per slot.
+ *
+ * @public
+ */
+export const chooseLeastLoaded: LoadBalancingPolicy = (candidates) => {
+  const loadPerSlot = ({ upstream }: Candidate) =>
     upstream.expectedLoad() / upstream.announcement.slots;
-  let chosen = candidates[0]!;
+  let leastLoaded = candidates[0]!;
   for (const candidate of candidates) {
-    if (share(candidate) < share(chosen)) {
-      chosen = candidate;
+    if (loadPerSlot(candidate) < loadPerSlot(leastLoaded)) {
+      leastLoaded = candidate;
     }
   }
-  return chosen;
+  return leastLoaded;
 };
--- a/packages/routing/circuit_breaker.ts
+++ b/packages/routing/circuit_breaker.ts
@@ -1,63 +1,66 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** Settings of a breaker. */
 type BreakerSettings = {
-  readonly failuresToOpen: number;
+  readonly failureThreshold: number;
   readonly openTime: Milliseconds;
-  readonly mostOpenTime: Milliseconds;
+  readonly maxOpenTime: Milliseconds;
 };
 
 /**
- * Leaves an upstream alone after failures in a row, then lets one request
- * through to see whether it has recovered.
+ * Stops requests to an upstream after consecutive failures. After the open
+ * time it allows a single trial request (half-open), and closes when a request
+ * succeeds.
  *
  * @internal
  */
 export class CircuitBreaker {
   readonly #settings: BreakerSettings;
-  #failures = 0;
-  #openings = 0;
+  #consecutiveFailures = 0;
+  #consecutiveOpenings = 0;
   #openUntil: Milliseconds = 0;
-  #trialRunning = false;
+  #isTrialRunning = false;
 
   constructor(settings: BreakerSettings) {
     this.#settings = settings;
   }
 
-  allows(now: Milliseconds): boolean {
-    if (this.#openings === 0) {
+  allowsRequest(now: Milliseconds): boolean {
+    if (this.#consecutiveOpenings === 0) {
       return true;
     }
-    return now >= this.#openUntil && !this.#trialRunning;
+    return now >= this.#openUntil && !this.#isTrialRunning;
   }
 
-  /** Notes that a request goes out; behind an opening it is the trial. */
-  dispatched(): void {
-    if (this.#openings > 0) {
-      this.#trialRunning = true;
+  /** Records a request to the upstream; unless closed, it is the trial. */
+  recordDispatch(): void {
+    if (this.#consecutiveOpenings > 0) {
+      this.#isTrialRunning = true;
     }
   }
 
-  succeeded(): void {
-    this.#failures = 0;
-    this.#openings = 0;
-    this.#trialRunning = false;
+  recordSuccess(): void {
+    this.#consecutiveFailures = 0;
+    this.#consecutiveOpenings = 0;
+    this.#isTrialRunning = false;
   }
 
-  /** A request ended without saying anything about the upstream. */
-  abandoned(): void {
-    this.#trialRunning = false;
+  /** Records an end that says nothing about the health of the upstream. */
+  recordInconclusive(): void {
+    this.#isTrialRunning = false;
   }
 
-  failed(now: Milliseconds): void {
-    this.#failures += 1;
-    this.#trialRunning = false;
-    if (this.#failures < this.#settings.failuresToOpen) {
+  recordFailure(now: Milliseconds): void {
+    this.#consecutiveFailures += 1;
+    this.#isTrialRunning = false;
+    if (this.#consecutiveFailures < this.#settings.failureThreshold) {
       return;
     }
-    const { openTime, mostOpenTime } = this.#settings;
-    const pause = Math.min(mostOpenTime, openTime * 2 ** this.#openings);
-    this.#openings += 1;
-    this.#openUntil = now + pause;
+    const { openTime, maxOpenTime } = this.#settings;
+    const duration = Math.min(
+      maxOpenTime,
+      openTime * 2 ** this.#consecutiveOpenings,
+    );
+    this.#consecutiveOpenings += 1;
+    this.#openUntil = now + duration;
   }
 }
--- a/packages/routing/has_labels.ts
+++ b/packages/routing/has_labels.ts
@@ -1,10 +1,14 @@
-/** Whether all wanted labels are among the found ones. @internal */
+/**
+ * Whether all required labels are present with the same values.
+ *
+ * @internal
+ */
 export function hasLabels(
-  found: Readonly<Record<string, string>>,
-  wanted: Readonly<Record<string, string>>,
+  labels: Readonly<Record<string, string>>,
+  required: Readonly<Record<string, string>>,
 ): boolean {
-  for (const [key, value] of Object.entries(wanted)) {
-    if (found[key] !== value) {
+  for (const [key, value] of Object.entries(required)) {
+    if (labels[key] !== value) {
       return false;
     }
   }
--- a/packages/routing/prefix_blocks.ts
+++ b/packages/routing/hash_prefix_blocks.ts
@@ -1,23 +1,23 @@
-/** Characters of prompt in one block. */
 const BLOCK_CHARACTERS = 256;
-/** Blocks looked at; a longer common prefix hardly changes the choice. */
-const MOST_BLOCKS = 256;
+/** A longer common prefix hardly changes the choice of an upstream. */
+const MAX_BLOCKS = 256;
 
-/** Hashes a text, continuing from an earlier hash. */
+/** Hashes a text together with the hash of the text before it. */
 type ChainHash = (text: string, seed: string) => string;
 
 /**
  * Hashes the prefix blocks of a prompt. Each hash covers its block and all
- * blocks before it, so that equal hashes mean equal prefixes.
+ * blocks before it, so equal hashes mean equal prefixes. An incomplete last
+ * block is left out.
  *
  * @public
  */
-export function prefixBlocks(prompt: string, hash: ChainHash): string[] {
+export function hashPrefixBlocks(prompt: string, hash: ChainHash): string[] {
   const blocks: string[] = [];
   let seed = "";
   for (
     let start = 0;
-    start + BLOCK_CHARACTERS <= prompt.length && blocks.length < MOST_BLOCKS;
+    start + BLOCK_CHARACTERS <= prompt.length && blocks.length < MAX_BLOCKS;
     start += BLOCK_CHARACTERS
   ) {
     seed = hash(prompt.slice(start, start + BLOCK_CHARACTERS), seed);
--- a/packages/routing/match_selector.ts
+++ b/packages/routing/match_selector.ts
@@ -1,20 +1,21 @@
 import type { ConfigurationView, Selector } from "@heroncleat/schema";
 import type { RoutedRequest } from "./routed_request.ts";
 
-/** The parts of a request that selectors look at. */
-type SelectedRequest = Pick<
+/** The attributes of a request that selectors match on. */
+type SelectorAttributes = Pick<
   RoutedRequest,
   "workspace" | "model" | "service" | "method" | "path"
 >;
 
 /**
- * The first selector, by order and then by name, that takes the request.
+ * Returns the first selector that matches the request, by order and then by
+ * name.
  *
  * @public
  */
 export function matchSelector(
   view: ConfigurationView,
-  request: SelectedRequest,
+  request: SelectorAttributes,
 ): Selector | undefined {
   const selectors = Object.values(view.selectors).sort((left, right) =>
     left.order - right.order || (left.name < right.name ? -1 : 1)
@@ -22,13 +23,13 @@
   return selectors.find((selector) => matches(selector, request));
 }
 
-function matches(selector: Selector, request: SelectedRequest): boolean {
+function matches(selector: Selector, request: SelectorAttributes): boolean {
   const { match } = selector;
-  const fits = (wanted: string | undefined, found: string) =>
-    wanted === undefined || wanted === found;
-  return fits(match.workspace, request.workspace) &&
-    fits(match.model, request.model) &&
-    fits(match.service, request.service) &&
-    fits(match.method, request.method) &&
+  const isEqualOrUnset = (expected: string | undefined, actual: string) =>
+    expected === undefined || expected === actual;
+  return isEqualOrUnset(match.workspace, request.workspace) &&
+    isEqualOrUnset(match.model, request.model) &&
+    isEqualOrUnset(match.service, request.service) &&
+    isEqualOrUnset(match.method, request.method) &&
     request.path.startsWith(match.pathPrefix ?? "");
 }
--- a/packages/routing/prefix_cache.ts
+++ b/packages/routing/prefix_cache.ts
@@ -1,35 +1,38 @@
 import type { CacheEvent } from "@heroncleat/schema";
 
-/** How much of a belief is left after a gap in the events. */
-const TRUST_AFTER_GAP = 0.9;
-/** How far each gapless event brings trust back. */
-const TRUST_GAIN = 0.05;
-/** What this entry sent there itself is known whatever events are lost. */
-const LEAST_TRUST = 0.5;
+/** Factor applied to the confidence when events are missing. */
+const GAP_CONFIDENCE_FACTOR = 0.9;
+/** Confidence regained with each event that follows without a gap. */
+const CONFIDENCE_GAIN_PER_EVENT = 0.05;
+/** This entry's own dispatches are known even when events are missing. */
+const MIN_CONFIDENCE = 0.5;
 
 /**
- * What is believed of one upstream's prefix cache. Events come late and with
- * gaps, so the belief also grows by this entry's own dispatches, and a gap
- * lowers the trust in it.
+ * An estimate of the contents of an upstream's prefix cache. Since events
+ * arrive late and may be missing, this entry's own dispatches are recorded
+ * too, and a gap in the event sequence lowers the confidence.
  *
  * @internal
  */
 export class PrefixCache {
-  readonly #most: number;
+  readonly #maxBlocks: number;
   /** Insertion order is the order of last use. */
   readonly #blocks = new Set<string>();
   #sequence = 0;
-  #trust = 1;
+  #confidence = 1;
 
-  constructor(most: number) {
-    this.#most = most;
+  constructor(maxBlocks: number) {
+    this.#maxBlocks = maxBlocks;
   }
 
-  get trust(): number {
-    return this.#trust;
+  get confidence(): number {
+    return this.#confidence;
   }
 
-  /** Share of the blocks, from the start on, that are believed cached. */
+  /**
+   * Returns the share of the blocks, counted from the first, that is expected
+   * to be cached, weighted by the confidence.
+   */
   cachedShare(prefix: readonly string[]): number {
     if (prefix.length === 0) {
       return 0;
@@ -41,35 +44,36 @@
       }
       cached += 1;
     }
-    return cached / prefix.length * this.#trust;
+    return cached / prefix.length * this.#confidence;
   }
 
-  /** Notes a prompt that was sent there. */
-  remember(prefix: readonly string[]): void {
+  /** Adds blocks as the most recently used ones and evicts the oldest. */
+  recordBlocks(prefix: readonly string[]): void {
     for (const block of prefix) {
       this.#blocks.delete(block);
       this.#blocks.add(block);
     }
     for (const oldest of this.#blocks) {
-      if (this.#blocks.size <= this.#most) {
+      if (this.#blocks.size <= this.#maxBlocks) {
         return;
       }
       this.#blocks.delete(oldest);
     }
   }
 
-  take(event: CacheEvent): void {
+  applyEvent(event: CacheEvent): void {
     if (event.sequence <= this.#sequence) {
       return;
     }
-    const gap = this.#sequence !== 0 && event.sequence !== this.#sequence + 1;
+    const hasGap = this.#sequence !== 0 &&
+      event.sequence !== this.#sequence + 1;
     this.#sequence = event.sequence;
-    this.#trust = gap
-      ? Math.max(LEAST_TRUST, this.#trust * TRUST_AFTER_GAP)
-      : Math.min(1, this.#trust + TRUST_GAIN);
+    this.#confidence = hasGap
+      ? Math.max(MIN_CONFIDENCE, this.#confidence * GAP_CONFIDENCE_FACTOR)
+      : Math.min(1, this.#confidence + CONFIDENCE_GAIN_PER_EVENT);
     switch (event.kind) {
       case "stored":
-        this.remember(event.blocks);
+        this.recordBlocks(event.blocks);
         return;
       case "removed":
         for (const block of event.blocks) {
@@ -78,15 +82,15 @@
         return;
       case "cleared":
         this.#blocks.clear();
-        this.#trust = 1;
+        this.#confidence = 1;
         return;
     }
   }
 
-  /** Forgets everything, as after a restart of the upstream. */
+  /** Resets the estimate, for example after a restart of the upstream. */
   clear(): void {
     this.#blocks.clear();
     this.#sequence = 0;
-    this.#trust = 1;
+    this.#confidence = 1;
   }
 }
--- a/packages/routing/route_choice.ts
+++ b/packages/routing/route_choice.ts
@@ -1,6 +1,10 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** Where a request goes and what is expected there. @public */
+/**
+ * The upstream chosen for a request, with the estimates for that request.
+ *
+ * @public
+ */
 export type RouteChoice = {
   readonly upstream: string;
   readonly address: string;
--- a/packages/routing/routed_request.ts
+++ b/packages/routing/routed_request.ts
@@ -1,4 +1,8 @@
-/** What the router needs to know of a request. @public */
+/**
+ * The attributes of a request that routing depends on.
+ *
+ * @public
+ */
 export type RoutedRequest = {
   readonly id: string;
   readonly workspace: string;
@@ -11,6 +15,6 @@
   /** Hashes of the prompt's prefix blocks, each covering all before it. */
   readonly prefix: readonly string[];
   readonly promptTokens: number;
-  /** Upstreams that this request must not go to. */
+  /** Upstreams that must not be chosen. */
   readonly exclude: readonly string[];
 };
--- a/packages/routing/router.ts
+++ b/packages/routing/router.ts
@@ -6,73 +6,71 @@
   Group,
 } from "@heroncleat/schema";
 import type { Candidate } from "./candidate.ts";
-import type { CandidateChoice } from "./candidate_choice.ts";
+import type { LoadBalancingPolicy } from "./load_balancing_policy.ts";
 import { chooseGroup } from "./choose_group.ts";
-import { chooseWeighted } from "./choose_weighted.ts";
+import { createWeightedPolicy } from "./create_weighted_policy.ts";
 import { hasLabels } from "./has_labels.ts";
 import { matchSelector } from "./match_selector.ts";
 import type { RouteChoice } from "./route_choice.ts";
 import type { RoutedRequest } from "./routed_request.ts";
 import type { RoutingSettings } from "./routing_settings.ts";
 import { subsetUpstreams } from "./subset_upstreams.ts";
-import { UpstreamModel } from "./upstream_model.ts";
+import { UpstreamTracker } from "./upstream_tracker.ts";
 
-/** Why a request can't be routed. */
-type Unroutable =
+/** Reason why a request can't be routed. */
+type UnroutableReason =
   | "no_selector"
   | "all_draining"
   | "no_upstream"
   | "all_failing";
 
-/** Where a request goes, or why it goes nowhere. */
 type RouteDecision =
   | { readonly kind: "chosen"; readonly choice: RouteChoice }
-  | { readonly kind: "unroutable"; readonly reason: Unroutable };
+  | { readonly kind: "unroutable"; readonly reason: UnroutableReason };
 
-/** What the router is built from. */
 type RouterOptions = {
   readonly entry: string;
   readonly hash: (text: string) => number;
-  /** Defaults to the product's own policy. */
-  readonly choose?: CandidateChoice;
+  /** Defaults to the weighted policy of the settings. */
+  readonly choose?: LoadBalancingPolicy;
 };
 
 /**
- * Chooses the upstream of each request. It holds no sockets and no timers;
- * its owner tells it what happened and when.
+ * Chooses an upstream for each request. It has no sockets or timers: the
+ * caller reports events and passes the current time.
  *
  * @public
  */
 export class Router {
   readonly #settings: RoutingSettings;
   readonly #options: RouterOptions;
-  readonly #choose: CandidateChoice;
-  readonly #upstreams = new Map<string, UpstreamModel>();
-  #sharers = 1;
-  /** Upstreams that this entry routes to; made anew when it is asked for. */
-  #subset: UpstreamModel[] | undefined;
+  readonly #choose: LoadBalancingPolicy;
+  readonly #upstreams = new Map<string, UpstreamTracker>();
+  #entryCount = 1;
+  /** Upstreams that this entry routes to; undefined until computed. */
+  #subset: UpstreamTracker[] | undefined;
   #view: ConfigurationView | undefined;
 
   constructor(settings: RoutingSettings, options: RouterOptions) {
     this.#settings = settings;
     this.#options = options;
-    this.#choose = options.choose ?? chooseWeighted(settings.weighting);
+    this.#choose = options.choose ?? createWeightedPolicy(settings.weighting);
   }
 
-  /** Sets how many entries send to the same upstreams. */
-  setSharers(sharers: number): void {
-    this.#sharers = sharers;
+  /** Sets the number of entries that send to the same upstreams. */
+  setEntryCount(entryCount: number): void {
+    this.#entryCount = entryCount;
     for (const upstream of this.#upstreams.values()) {
-      upstream.setSharers(sharers);
+      upstream.setEntryCount(entryCount);
     }
   }
 
-  /** Requests that this entry has running at an upstream. */
+  /** Requests of this entry that are running at an upstream. */
   runningAt(upstream: string): number {
     return this.#upstreams.get(upstream)?.running ?? 0;
   }
 
-  /** Slots of the upstreams that take new work for a model or a service. */
+  /** Total slots of the upstreams that serve a model or service. */
   slotsFor(pool: Pick<RoutedRequest, "model" | "service">): number {
     let slots = 0;
     for (const upstream of this.#upstreams.values()) {
@@ -83,7 +81,7 @@
     return slots;
   }
 
-  /** Slots for a model or a service that are likely free now. */
+  /** Estimated free slots for a model or service. */
   freeSlotsFor(pool: Pick<RoutedRequest, "model" | "service">): number {
     let free = 0;
     for (const upstream of this.#upstreams.values()) {
@@ -94,7 +92,7 @@
     return free;
   }
 
-  /** Models and adapters that some upstream has loaded. */
+  /** Sorted names of the models and adapters loaded by any upstream. */
   get models(): string[] {
     const models = new Set<string>();
     for (const upstream of this.#upstreams.values()) {
@@ -109,73 +107,77 @@
     this.#view = view;
   }
 
-  upstreamChanged(announcement: Announcement, now: Milliseconds): void {
-    const known = this.#upstreams.get(announcement.name);
-    if (known !== undefined) {
-      known.update(announcement, now);
+  updateUpstream(announcement: Announcement, now: Milliseconds): void {
+    const existing = this.#upstreams.get(announcement.name);
+    if (existing !== undefined) {
+      existing.applyAnnouncement(announcement, now);
       return;
     }
-    const model = new UpstreamModel(announcement, {
+    const tracker = new UpstreamTracker(announcement, {
       settings: this.#settings,
       now,
     });
-    model.setSharers(this.#sharers);
-    this.#upstreams.set(announcement.name, model);
+    tracker.setEntryCount(this.#entryCount);
+    this.#upstreams.set(announcement.name, tracker);
     this.#subset = undefined;
   }
 
-  upstreamLapsed(name: string): void {
+  removeUpstream(name: string): void {
     if (this.#upstreams.delete(name)) {
       this.#subset = undefined;
     }
   }
 
-  cacheChanged(upstream: string, event: CacheEvent): void {
-    this.#upstreams.get(upstream)?.cache.take(event);
+  applyCacheEvent(upstream: string, event: CacheEvent): void {
+    this.#upstreams.get(upstream)?.cache.applyEvent(event);
   }
 
-  /** Chooses, and counts the request as running there from now on. */
+  /** Chooses an upstream and records the dispatch of the request to it. */
   route(
     request: RoutedRequest,
     options: { token: string; now: Milliseconds },
   ): RouteDecision {
-    const found = this.#findCandidates(request, options.now);
-    if (typeof found === "string") {
-      return { kind: "unroutable", reason: found };
+    const candidates = this.#findCandidates(request, options.now);
+    if (typeof candidates === "string") {
+      return { kind: "unroutable", reason: candidates };
     }
-    const chosen = this.#choose(found, {
-      firstToken: this.#settings.firstTokenTarget * this.#settings.targetShare,
-      betweenTokens: this.#settings.betweenTokensTarget,
+    const chosen = this.#choose(candidates, {
+      maxFirstToken: this.#settings.firstTokenTarget *
+        this.#settings.targetSafetyFactor,
+      maxTokenInterval: this.#settings.betweenTokensTarget,
     });
     const { announcement } = chosen.upstream;
-    chosen.upstream.dispatched(options.token, options.now);
-    chosen.upstream.cache.remember(request.prefix);
+    chosen.upstream.recordDispatch(options.token, options.now);
+    chosen.upstream.cache.recordBlocks(request.prefix);
     return {
       kind: "chosen",
       choice: {
         upstream: announcement.name,
         address: announcement.address,
-        estimatedFirstToken: chosen.firstToken,
+        estimatedFirstToken: chosen.estimatedFirstToken,
         cachedTokens: chosen.cachedTokens,
       },
     };
   }
 
-  firstToken(
+  recordFirstToken(
     upstream: string,
     times: { measured: Milliseconds; estimated: Milliseconds },
   ): void {
-    const model = this.#upstreams.get(upstream);
-    model?.noteFirstToken(times.measured, times.estimated);
+    const tracker = this.#upstreams.get(upstream);
+    tracker?.recordFirstToken(times.measured, times.estimated);
   }
 
-  /** Notes the mean time between the tokens of one request. */
-  betweenTokens(upstream: string, measured: Milliseconds): void {
-    this.#upstreams.get(upstream)?.noteBetweenTokens(measured);
+  /** Records the mean time between tokens of one request. */
+  recordTokenInterval(upstream: string, measured: Milliseconds): void {
+    this.#upstreams.get(upstream)?.recordTokenInterval(measured);
   }
 
-  /** Notes how a request ended; `neutral` says nothing of the upstream. */
-  ended(
+  /**
+   * Records the end of a request. The outcome `neutral` says nothing about the
+   * health of the upstream.
+   */
+  recordEnd(
     upstream: string,
     options: {
       token: string;
@@ -183,26 +185,29 @@
       now: Milliseconds;
     },
   ): void {
-    const model = this.#upstreams.get(upstream);
-    if (model === undefined) {
+    const tracker = this.#upstreams.get(upstream);
+    if (tracker === undefined) {
       return;
     }
-    model.ended(options.token, options.now);
+    tracker.recordEnd(options.token, options.now);
     switch (options.outcome) {
       case "succeeded":
-        model.breaker.succeeded();
+        tracker.breaker.recordSuccess();
         return;
       case "failed":
-        model.breaker.failed(options.now);
+        tracker.breaker.recordFailure(options.now);
         return;
       case "neutral":
-        model.breaker.abandoned();
+        tracker.breaker.recordInconclusive();
         return;
     }
   }
 
-  /** Whether a request that names these would be let through now. */
-  idempotencyOf(request: RoutedRequest): boolean | undefined {
+  /**
+   * Whether the selector of the request declares it idempotent; undefined
+   * without such a declaration, selector or configuration.
+   */
+  isIdempotent(request: RoutedRequest): boolean | undefined {
     const view = this.#view;
     return view === undefined
       ? undefined
@@ -212,32 +217,34 @@
   #findCandidates(
     request: RoutedRequest,
     now: Milliseconds,
-  ): Candidate[] | Unroutable {
+  ): Candidate[] | UnroutableReason {
     const groups = this.#findGroups(request);
     if (groups === undefined) {
       return "no_selector";
     }
-    const open = groups.filter((group) => group.state !== "draining");
-    if (groups.length > 0 && open.length === 0) {
+    const active = groups.filter((group) => group.state !== "draining");
+    if (groups.length > 0 && active.length === 0) {
       return "all_draining";
     }
-    const serving = this.#servingUpstreams(request);
-    const chosen = chooseGroup(open, this.#options.hash(request.id));
+    const serving = this.#findServingUpstreams(request);
+    const chosen = chooseGroup(active, this.#options.hash(request.id));
     const preferred = serving.filter((upstream) =>
-      chosen !== undefined && this.#belongs(upstream, chosen)
+      chosen !== undefined && this.#isInGroup(upstream, chosen)
     );
-    // An empty group must not lose requests that another one can serve.
-    const inGroups = preferred.length > 0 ? preferred : serving.filter(
-      (upstream) => open.some((group) => this.#belongs(upstream, group)),
+    // Falls back to the other groups when the chosen one has no upstream.
+    const eligible = preferred.length > 0 ? preferred : serving.filter(
+      (upstream) => active.some((group) => this.#isInGroup(upstream, group)),
     );
-    if (inGroups.length === 0) {
+    if (eligible.length === 0) {
       return "no_upstream";
     }
-    const allowed = inGroups.filter((upstream) => upstream.breaker.allows(now));
-    if (allowed.length === 0) {
+    const available = eligible.filter((upstream) =>
+      upstream.breaker.allowsRequest(now)
+    );
+    if (available.length === 0) {
       return "all_failing";
     }
-    return allowed.map((upstream) => evaluate(upstream, request));
+    return available.map((upstream) => estimateCandidate(upstream, request));
   }
 
   #findGroups(request: RoutedRequest): Group[] | undefined {
@@ -259,7 +266,7 @@
     return groups;
   }
 
-  #servingUpstreams(request: RoutedRequest): UpstreamModel[] {
+  #findServingUpstreams(request: RoutedRequest): UpstreamTracker[] {
     this.#subset ??= this.#chooseSubset();
     return this.#subset.filter((upstream) =>
       serves(upstream, request) &&
@@ -267,13 +274,13 @@
     );
   }
 
-  #belongs(upstream: UpstreamModel, group: Group): boolean {
+  #isInGroup(upstream: UpstreamTracker, group: Group): boolean {
     const { name, labels } = upstream.announcement;
-    const added = this.#view?.labels[name] ?? {};
-    return hasLabels({ ...labels, ...added }, group.labels);
+    const operatorLabels = this.#view?.labels[name] ?? {};
+    return hasLabels({ ...labels, ...operatorLabels }, group.labels);
   }
 
-  #chooseSubset(): UpstreamModel[] {
+  #chooseSubset(): UpstreamTracker[] {
     const { entry, hash } = this.#options;
     const size = this.#settings.subsetSize;
     const pools = new Map<string, string[]>();
@@ -286,7 +293,7 @@
         pool.push(name);
       }
     }
-    const chosen: UpstreamModel[] = [];
+    const chosen: UpstreamTracker[] = [];
     for (const names of pools.values()) {
       for (const name of subsetUpstreams(names, { entry, size, hash })) {
         chosen.push(this.#upstreams.get(name)!);
@@ -297,7 +304,7 @@
 }
 
 function serves(
-  upstream: UpstreamModel,
+  upstream: UpstreamTracker,
   request: Pick<RoutedRequest, "model" | "service">,
 ): boolean {
   const { announcement } = upstream;
@@ -312,15 +319,18 @@
     announcement.models.includes(request.model);
 }
 
-function evaluate(
-  upstream: UpstreamModel,
+function estimateCandidate(
+  upstream: UpstreamTracker,
   request: RoutedRequest,
 ): Candidate {
-  const share = upstream.cache.cachedShare(request.prefix);
-  const cachedTokens = Math.floor(request.promptTokens * share);
+  const cachedShare = upstream.cache.cachedShare(request.prefix);
+  const cachedTokens = Math.floor(request.promptTokens * cachedShare);
   return {
     upstream,
-    firstToken: upstream.estimateFirstToken(request.promptTokens, share),
+    estimatedFirstToken: upstream.estimateFirstToken(
+      request.promptTokens,
+      cachedShare,
+    ),
     cachedTokens,
     uncachedTokens: request.promptTokens - cachedTokens,
   };
--- a/packages/routing/router_test.ts
+++ b/packages/routing/router_test.ts
@@ -2,7 +2,7 @@
 import type { Announcement, ConfigurationView } from "@heroncleat/schema";
 import {
   chooseGroup,
-  prefixBlocks,
+  hashPrefixBlocks,
   type RoutedRequest,
   Router,
   ROUTING_DEFAULTS,
@@ -76,41 +76,41 @@
   );
   router.configure(VIEW);
   for (const upstream of upstreams) {
-    router.upstreamChanged(upstream, 0);
+    router.updateUpstream(upstream, 0);
   }
   return router;
 }
 
-let tokens = 0;
+let tokenCount = 0;
 function routeTo(router: Router, routed: RoutedRequest, now = 1): string {
-  tokens += 1;
-  const decision = router.route(routed, { token: `t${tokens}`, now });
+  tokenCount += 1;
+  const decision = router.route(routed, { token: `t${tokenCount}`, now });
   return decision.kind === "chosen"
     ? decision.choice.upstream
     : decision.reason;
 }
 
-describe("the router", () => {
-  test("takes the cheapest upstream that meets the target", () => {
+describe("Router", () => {
+  test("chooses the cheapest upstream that meets the latency target", () => {
     const router = createRouter([
-      announcement("dear", { price: 3 }),
+      announcement("expensive", { price: 3 }),
       announcement("cheap"),
       announcement("slow", { price: 0.5, prefillRate: 50 }),
     ]);
     expect(routeTo(router, request())).toBe("cheap");
   });
 
-  test("takes the dearer one when the cheap one's queue is too long", () => {
+  test("chooses a more expensive upstream when the cheap one has a queue", () => {
     const router = createRouter([
-      announcement("dear", { price: 3 }),
+      announcement("expensive", { price: 3 }),
       announcement("cheap", {
         load: { running: 4, waiting: 4, kvUsedShare: 0, at: 0 },
       }),
     ]);
-    expect(routeTo(router, request())).toBe("dear");
+    expect(routeTo(router, request())).toBe("expensive");
   });
 
-  test("counts its own dispatches that a report can't show yet", () => {
+  test("counts its own dispatches before a load report includes them", () => {
     const router = createRouter([announcement("a"), announcement("b")]);
     const chosen = Array.from(
       { length: 8 },
@@ -119,11 +119,11 @@
     expect(chosen.filter((name) => name === "a")).toHaveLength(4);
   });
 
-  test("weighs recomputed tokens first when told to", () => {
+  test("avoids recomputation under the recompute weighting", () => {
     const prefix = ["b1", "b2", "b3"];
     const load = { running: 2, waiting: 0, kvUsedShare: 0, at: 0 };
-    // Half full, the warm one costs more waiting than the prefix saves, but
-    // not more than that and the tokens are worth together.
+    // The half full batch outweighs the prefill time saved at the warm
+    // upstream, but not that time plus the weight of the recomputed tokens.
     for (
       const [weighting, expected] of [
         ["cost", "empty"],
@@ -134,7 +134,7 @@
         announcement("warm", { load }),
         announcement("empty"),
       ], { weighting });
-      router.cacheChanged("warm", {
+      router.applyCacheEvent("warm", {
         sequence: 1,
         kind: "stored",
         blocks: prefix,
@@ -144,24 +144,24 @@
     }
   });
 
-  test("trusts a cache less after a gap in its events", () => {
+  test("lowers the confidence in a cache after a gap in its events", () => {
     const prefix = ["b1", "b2"];
     const router = createRouter([announcement("a"), announcement("b")], {
       weighting: "recompute",
     });
     const stored = { kind: "stored" as const, blocks: prefix };
-    router.cacheChanged("a", { ...stored, sequence: 1 });
-    router.cacheChanged("a", { ...stored, sequence: 9 });
-    router.cacheChanged("b", { ...stored, sequence: 1 });
+    router.applyCacheEvent("a", { ...stored, sequence: 1 });
+    router.applyCacheEvent("a", { ...stored, sequence: 9 });
+    router.applyCacheEvent("b", { ...stored, sequence: 1 });
     expect(routeTo(router, request({ prefix }))).toBe("b");
   });
 
-  test("sends nothing new to a leaving, lapsed or drained upstream", () => {
-    const leaving = createRouter([announcement("a")]);
-    leaving.upstreamChanged(announcement("a", { state: "leaving" }), 1);
-    expect(routeTo(leaving, request())).toBe("no_upstream");
+  test("excludes departing, lapsed and drained upstreams", () => {
+    const departing = createRouter([announcement("a")]);
+    departing.updateUpstream(announcement("a", { state: "leaving" }), 1);
+    expect(routeTo(departing, request())).toBe("no_upstream");
     const lapsed = createRouter([announcement("a")]);
-    lapsed.upstreamLapsed("a");
+    lapsed.removeUpstream("a");
     expect(routeTo(lapsed, request())).toBe("no_upstream");
     const drained = createRouter([announcement("a")]);
     const groups = structuredClone(VIEW.groups);
@@ -171,7 +171,7 @@
     expect(routeTo(drained, request())).toBe("all_draining");
   });
 
-  test("moves the share of the traffic that operators set", () => {
+  test("splits the traffic by the shares of the groups", () => {
     const router = createRouter([
       announcement("o", { labels: { place: "old" }, slots: 10_000 }),
       announcement("n", { slots: 10_000 }),
@@ -185,26 +185,26 @@
         { length: 2000 },
         (_, n) => routeTo(router, request({ id: `${share}-${n}` })),
       );
-      const moved = chosen.filter((name) => name === "n").length / 2000;
-      expect(Math.abs(moved - share / 100)).toBeLessThan(0.05);
+      const movedShare = chosen.filter((name) => name === "n").length / 2000;
+      expect(Math.abs(movedShare - share / 100)).toBeLessThan(0.05);
     }
   });
 
-  test("leaves a failing upstream alone, then tries it with one request", () => {
+  test("stops routing to a failing upstream, then allows one trial request", () => {
     const router = createRouter([announcement("a")]);
     for (let n = 0; n < 3; n += 1) {
       router.route(request(), { token: `f${n}`, now: n });
-      router.ended("a", { token: `f${n}`, outcome: "failed", now: n });
+      router.recordEnd("a", { token: `f${n}`, outcome: "failed", now: n });
     }
     expect(routeTo(router, request(), 10)).toBe("all_failing");
     expect(router.route(request(), { token: "trial", now: 2000 }).kind)
       .toBe("chosen");
     expect(routeTo(router, request(), 2000)).toBe("all_failing");
-    router.ended("a", { token: "trial", outcome: "succeeded", now: 2100 });
+    router.recordEnd("a", { token: "trial", outcome: "succeeded", now: 2100 });
     expect(routeTo(router, request(), 2100)).toBe("a");
   });
 
-  test("puts operator labels over announced ones", () => {
+  test("adds labels set by operators to the announced ones", () => {
     const router = createRouter([announcement("a", { labels: {} })]);
     expect(routeTo(router, request())).toBe("no_upstream");
     router.configure({ ...VIEW, labels: { a: { place: "old" } } });
@@ -212,21 +212,21 @@
   });
 });
 
-describe("prefix blocks", () => {
-  test("are equal exactly as far as the texts are", () => {
+describe("hashPrefixBlocks", () => {
+  test("returns equal hashes exactly for the common prefix", () => {
     const chain = (text: string, seed: string) => `${hash(seed + text)}`;
     const start = "x".repeat(600);
-    const left = prefixBlocks(`${start}${"a".repeat(600)}`, chain);
-    const right = prefixBlocks(`${start}${"b".repeat(600)}`, chain);
+    const left = hashPrefixBlocks(`${start}${"a".repeat(600)}`, chain);
+    const right = hashPrefixBlocks(`${start}${"b".repeat(600)}`, chain);
     expect(left.slice(0, 2)).toEqual(right.slice(0, 2));
     expect(left[2]).not.toBe(right[2]);
   });
 });
 
-describe("a subset of upstreams", () => {
+describe("subsetUpstreams", () => {
   const names = Array.from({ length: 400 }, (_, n) => `u${n}`);
 
-  test("is the same on every call and changes little with the list", () => {
+  test("keeps the subset nearly unchanged when an upstream is removed", () => {
     const options = { entry: "e7", size: 40, hash };
     const before = new Set(subsetUpstreams(names, options));
     const after = subsetUpstreams(names.slice(0, 399), options);
@@ -236,7 +236,7 @@
   });
 });
 
-test("a drained or empty group is never chosen", () => {
+test("chooseGroup skips draining groups and groups without a share", () => {
   const group = (
     name: string,
     share: number,
--- a/packages/routing/routing_settings.ts
+++ b/packages/routing/routing_settings.ts
@@ -1,19 +1,24 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** Settings of the router. @public */
+/**
+ * Settings of the router.
+ *
+ * @public
+ */
 export type RoutingSettings = {
   readonly firstTokenTarget: Milliseconds;
   readonly betweenTokensTarget: Milliseconds;
-  /** What counts first among upstreams that meet the target. */
+  /** Cost that is minimized among the upstreams that meet the targets. */
   readonly weighting: "cost" | "recompute";
-  /** Share of the target that an estimate may use, for its error. */
-  readonly targetShare: number;
-  /** Failures in a row after which an upstream is left alone. */
-  readonly failuresToOpen: number;
+  /** Factor on the first token target that leaves room for estimate errors. */
+  readonly targetSafetyFactor: number;
+  /** Consecutive failures that open the circuit breaker of an upstream. */
+  readonly failureThreshold: number;
+  /** Duration of the first opening; it doubles with each further one. */
   readonly openTime: Milliseconds;
-  readonly mostOpenTime: Milliseconds;
+  readonly maxOpenTime: Milliseconds;
   /** Prefix blocks remembered for each upstream. */
-  readonly cacheBlocks: number;
-  /** Upstreams this entry routes to; more are left to other entries. */
+  readonly maxCacheBlocks: number;
+  /** Upstreams of a model or service that this entry routes to at most. */
   readonly subsetSize: number;
 };
--- a/packages/routing/subset_upstreams.ts
+++ b/packages/routing/subset_upstreams.ts
@@ -2,8 +2,8 @@
 type UnitHash = (text: string) => number;
 
 /**
- * The upstreams that one entry routes to: those of highest hash with the
- * entry's name (rendezvous hashing), so that a change of the list moves few.
+ * Returns the upstreams that one entry routes to. Rendezvous hashing keeps the
+ * subset of each entry nearly the same when upstreams are added or removed.
  *
  * @public
  */
@@ -14,10 +14,10 @@
   if (names.length <= options.size) {
     return [...names];
   }
-  const weighed = names.map((name) => ({
+  const weighted = names.map((name) => ({
     name,
     weight: options.hash(`${options.entry} ${name}`),
   }));
-  weighed.sort((left, right) => right.weight - left.weight);
-  return weighed.slice(0, options.size).map(({ name }) => name);
+  weighted.sort((left, right) => right.weight - left.weight);
+  return weighted.slice(0, options.size).map(({ name }) => name);
 }
--- a/packages/routing/upstream_model.ts
+++ b/packages/routing/upstream_tracker.ts
@@ -4,36 +4,36 @@
 import { PrefixCache } from "./prefix_cache.ts";
 import type { RoutingSettings } from "./routing_settings.ts";
 
-/** Weight of the newest observation in a moving average. */
-const SMOOTHING = 0.2;
+/** Weight of the newest observation in an exponential moving average. */
+const SMOOTHING_FACTOR = 0.2;
 const MS_PER_SECOND = 1000;
-const LEAST_CORRECTION = 0.5;
-const MOST_CORRECTION = 3;
+const MIN_CORRECTION_FACTOR = 0.5;
+const MAX_CORRECTION_FACTOR = 3;
 
-/** A dispatch that the upstream's load report may not show yet. */
 type Dispatch = { readonly at: Milliseconds };
 
 /**
- * What one entry knows and expects of one upstream.
+ * Tracks one upstream at one entry: its announcement, its load, its prefix
+ * cache, its circuit breaker and its latency.
  *
  * @internal
  */
-export class UpstreamModel {
+export class UpstreamTracker {
   readonly cache: PrefixCache;
   readonly breaker: CircuitBreaker;
   readonly #dispatches = new Map<string, Dispatch>();
   #announcement: Announcement;
   #reportedAt: Milliseconds;
-  /** Own dispatches that ended after the last report. */
+  /** Requests in the last load report that this entry has since ended. */
   #endedSinceReport = 0;
-  /** Smoothed time that a request runs. */
+  /** Moving average of the duration of requests. */
   #serviceTime: Milliseconds = 0;
-  /** Smoothed time between tokens as measured here; 0 before the first. */
+  /** Moving average of the time between tokens; 0 before the first sample. */
   #measuredInterval: Milliseconds = 0;
   /** Entries that send to this upstream, this one included. */
-  #sharers = 1;
-  /** Smoothed ratio of measured to estimated time to the first token. */
-  #correction = 1;
+  #entryCount = 1;
+  /** Moving average of measured to estimated time to the first token. */
+  #prefillCorrection = 1;
 
   constructor(
     announcement: Announcement,
@@ -41,7 +41,7 @@
   ) {
     this.#announcement = announcement;
     this.#reportedAt = options.now;
-    this.cache = new PrefixCache(options.settings.cacheBlocks);
+    this.cache = new PrefixCache(options.settings.maxCacheBlocks);
     this.breaker = new CircuitBreaker(options.settings);
   }
 
@@ -49,27 +49,28 @@
     return this.#announcement;
   }
 
-  /** Time between tokens: as measured, or as announced before that. */
+  /** Time between tokens: measured, or announced while there is no sample. */
   get decodeInterval(): Milliseconds {
     return this.#measuredInterval || this.#announcement.decodeInterval;
   }
 
-  setSharers(sharers: number): void {
-    this.#sharers = Math.max(1, sharers);
+  setEntryCount(entryCount: number): void {
+    this.#entryCount = Math.max(1, entryCount);
   }
 
-  noteBetweenTokens(measured: Milliseconds): void {
+  recordTokenInterval(measured: Milliseconds): void {
     this.#measuredInterval = this.#measuredInterval === 0
       ? measured
       : this.#measuredInterval +
-        SMOOTHING * (measured - this.#measuredInterval);
+        SMOOTHING_FACTOR * (measured - this.#measuredInterval);
   }
 
+  /** Requests of this entry that are running at the upstream. */
   get running(): number {
     return this.#dispatches.size;
   }
 
-  update(announcement: Announcement, now: Milliseconds): void {
+  applyAnnouncement(announcement: Announcement, now: Milliseconds): void {
     if (announcement.incarnation !== this.#announcement.incarnation) {
       this.cache.clear();
     }
@@ -78,12 +79,12 @@
     this.#endedSinceReport = 0;
   }
 
-  dispatched(token: string, now: Milliseconds): void {
+  recordDispatch(token: string, now: Milliseconds): void {
     this.#dispatches.set(token, { at: now });
-    this.breaker.dispatched();
+    this.breaker.recordDispatch();
   }
 
-  ended(token: string, now: Milliseconds): void {
+  recordEnd(token: string, now: Milliseconds): void {
     const dispatch = this.#dispatches.get(token);
     if (dispatch === undefined) {
       return;
@@ -92,42 +93,44 @@
     if (dispatch.at <= this.#reportedAt) {
       this.#endedSinceReport += 1;
     }
-    const taken = now - dispatch.at;
+    const duration = now - dispatch.at;
     this.#serviceTime = this.#serviceTime === 0
-      ? taken
-      : this.#serviceTime + SMOOTHING * (taken - this.#serviceTime);
+      ? duration
+      : this.#serviceTime + SMOOTHING_FACTOR * (duration - this.#serviceTime);
   }
 
-  noteFirstToken(measured: Milliseconds, estimated: Milliseconds): void {
+  recordFirstToken(measured: Milliseconds, estimated: Milliseconds): void {
     if (estimated <= 0) {
       return;
     }
     const ratio = measured / estimated;
     const bounded = Math.min(
-      MOST_CORRECTION,
-      Math.max(LEAST_CORRECTION, ratio),
+      MAX_CORRECTION_FACTOR,
+      Math.max(MIN_CORRECTION_FACTOR, ratio),
     );
-    this.#correction += SMOOTHING * (bounded - this.#correction);
+    this.#prefillCorrection += SMOOTHING_FACTOR *
+      (bounded - this.#prefillCorrection);
   }
 
   /**
-   * Requests there now: the last report, plus what was sent since and the
-   * report can't show, less what ended since. The other entries are taken to
-   * send as much as this one, or all would pick the same upstream at once.
+   * Estimates the requests at the upstream: those in the last report, plus
+   * those dispatched since, minus those ended since. The other entries are
+   * assumed to send as much as this one; otherwise all entries would choose
+   * the same upstream at the same time.
    */
   expectedLoad(): number {
     const { running, waiting } = this.#announcement.load;
-    let unseen = 0;
+    let unreported = 0;
     for (const dispatch of this.#dispatches.values()) {
       if (dispatch.at > this.#reportedAt) {
-        unseen += 1;
+        unreported += 1;
       }
     }
-    const change = (unseen - this.#endedSinceReport) * this.#sharers;
+    const change = (unreported - this.#endedSinceReport) * this.#entryCount;
     return Math.max(this.running, running + waiting + change);
   }
 
-  /** Requests that can start there without queueing. */
+  /** Requests that can start without queueing. */
   freeSlots(): number {
     return this.#announcement.slots - this.expectedLoad();
   }
@@ -138,16 +141,16 @@
   ): Milliseconds {
     const { slots, prefillRate } = this.#announcement;
     const queued = Math.max(0, this.expectedLoad() - slots + 1);
-    const queueing = queued * this.#serviceTime / slots;
+    const queueTime = queued * this.#serviceTime / slots;
     const uncached = promptTokens * (1 - cachedShare);
-    const prefill = uncached / prefillRate * MS_PER_SECOND;
-    // Only computing is corrected: an upstream that once had a long queue
-    // would else look slow until it is chosen again, which it then isn't.
-    return queueing + prefill * this.#correction +
+    const prefillTime = uncached / prefillRate * MS_PER_SECOND;
+    // The queue time isn't corrected: an upstream that once had a long queue
+    // would keep a high estimate and never be chosen again to lower it.
+    return queueTime + prefillTime * this.#prefillCorrection +
       this.#announcement.decodeInterval;
   }
 
-  /** Price of one slot for an hour. */
+  /** Price of one slot per hour. */
   slotPrice(): number {
     return this.#announcement.price / this.#announcement.slots;
   }
