--- a/packages/admission/admission_controller.ts
+++ b/packages/admission/admission_controller.ts
@@ -75,7 +75,7 @@
     return { kind: "queued" };
   }
 
-  /** Frees the place of a request that ended. */
+  /** Frees the capacity of a request that ended. */
   release(token: string, now: Milliseconds): void {
     const running = this.#running.get(token);
     if (running === undefined) {
@@ -202,7 +202,7 @@
   /**
    * Estimates the wait at the end of a workspace's queue, which drains at the
    * rate of the workspace's share. A workspace with an empty queue and the
-   * lowest virtual time gets the next free place.
+   * lowest virtual time gets the next free slot.
    */
   #expectedWait(queue: WorkspaceQueue, workspace: string): Milliseconds {
     const share = this.#shareOf(workspace);
--- a/packages/admission/admission_settings.ts
+++ b/packages/admission/admission_settings.ts
@@ -20,7 +20,7 @@
   readonly burst: number;
   /**
    * Longest wait in the queue by priority. A response that starts later is of
-   * little use, so its place goes to a request that can still be on time.
+   * little use, so the capacity goes to a request that can still be on time.
    */
   readonly maxWait: Readonly<Record<Priority, Milliseconds>>;
   /** Lower bound of the retry delay sent to refused callers. */
--- a/packages/bench/policy/simulated_entry.ts
+++ b/packages/bench/policy/simulated_entry.ts
@@ -136,7 +136,7 @@
   breakStreams(name: string): void {
     for (const running of [...this.#running.values()]) {
       if (running.upstream === name) {
-        const attempt = running.owned.attemptCount;
+        const attempt = running.owned.attempts;
         this.#drive(running, {
           kind: "attempt_failed",
           attempt,
--- a/packages/requests/owned_request.ts
+++ b/packages/requests/owned_request.ts
@@ -106,7 +106,7 @@
     return this.#attempts.lastUpstream;
   }
 
-  get attemptCount(): number {
+  get attempts(): number {
     return this.#attempts.count;
   }
 
--- a/packages/routing/hash_prefix_blocks.ts
+++ b/packages/routing/hash_prefix_blocks.ts
@@ -3,7 +3,7 @@
 const MAX_BLOCKS = 256;
 
 /** Hashes a text together with the hash of the text before it. */
-type ChainHash = (text: string, seed: string) => string;
+type ChainHash = (text: string, previousHash: string) => string;
 
 /**
  * Hashes the prefix blocks of a prompt. Each hash covers its block and all
@@ -14,14 +14,17 @@
  */
 export function hashPrefixBlocks(prompt: string, hash: ChainHash): string[] {
   const blocks: string[] = [];
-  let seed = "";
+  let previousHash = "";
   for (
     let start = 0;
     start + BLOCK_CHARACTERS <= prompt.length && blocks.length < MAX_BLOCKS;
     start += BLOCK_CHARACTERS
   ) {
-    seed = hash(prompt.slice(start, start + BLOCK_CHARACTERS), seed);
-    blocks.push(seed);
+    previousHash = hash(
+      prompt.slice(start, start + BLOCK_CHARACTERS),
+      previousHash,
+    );
+    blocks.push(previousHash);
   }
   return blocks;
 }
--- a/packages/routing/router_test.ts
+++ b/packages/routing/router_test.ts
@@ -214,7 +214,8 @@
 
 describe("hashPrefixBlocks", () => {
   test("returns equal hashes exactly for the common prefix", () => {
-    const chain = (text: string, seed: string) => `${hash(seed + text)}`;
+    const chain = (text: string, previousHash: string) =>
+      `${hash(previousHash + text)}`;
     const start = "x".repeat(600);
     const left = hashPrefixBlocks(`${start}${"a".repeat(600)}`, chain);
     const right = hashPrefixBlocks(`${start}${"b".repeat(600)}`, chain);
