--- a/apps/heroncleatd/common/crash_watch.ts
+++ b/apps/heroncleatd/common/crash_watch.ts
@@ -1,10 +1,10 @@
 import type { Clock, Milliseconds } from "@heroncleat/base";
 import {
-  type CrashBook,
   type CrashedRun,
-  CrashStanding,
   type ReportedSuspect,
   type SuspectKey,
+  type SuspectRegistry,
+  SuspectStatus,
 } from "@heroncleat/serving";
 import type { Log } from "./log.ts";
 import type { Metrics } from "./metrics.ts";
@@ -25,7 +25,7 @@
 
 /** What the watch is built from. */
 type WatchOptions = {
-  readonly book: CrashBook;
+  readonly book: SuspectRegistry;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
@@ -83,11 +83,11 @@
   }
 
   /** What becomes of a request that is sent now. */
-  standing(request: RequestIdentity): CrashStanding {
+  standing(request: RequestIdentity): SuspectStatus {
     const { book, clock } = this.#options;
     return this.#isKnown(request)
-      ? book.standing(request.digest(), clock.steady())
-      : CrashStanding.unsuspected;
+      ? book.statusOf(request.digest(), clock.steady())
+      : SuspectStatus.unsuspected;
   }
 
   /** Whether another copy of a request runs by way of this entry. */
@@ -97,7 +97,7 @@
 
   /** Notes that a copy goes out; call what it returns when that has ended. */
   begin(request: RequestIdentity): () => void {
-    if (this.standing(request) === CrashStanding.unsuspected) {
+    if (this.standing(request) === SuspectStatus.unsuspected) {
       return () => {};
     }
     const digest = request.digest();
@@ -119,7 +119,7 @@
       return;
     }
     const before = book.revision;
-    if (book.noteAnswer(request.digest(), clock.steady())) {
+    if (book.recordCompletion(request.digest(), clock.steady())) {
       log.info("A request under which upstreams ended was answered whole", {
         request: request.attempt,
         digest: request.digest(),
@@ -157,11 +157,11 @@
     const before = book.revision;
     let isNews = false;
     for (const { key, run } of runs) {
-      if (!book.noteCrash(key, run)) {
+      if (!book.recordCrash(key, run)) {
         continue;
       }
       isNews = true;
-      const standing = book.standing(key.request, clock.steady());
+      const standing = book.statusOf(key.request, clock.steady());
       metrics.increment(`crashes.${standing}`);
       log.info("An upstream ended under a request", {
         digest: key.request,
@@ -181,7 +181,7 @@
   learn(reported: readonly ReportedSuspect[]): void {
     const { book, clock, log, onEnd } = this.#options;
     const now = clock.steady();
-    const news = new Set(book.learn(reported, now));
+    const news = new Set(book.merge(reported, now));
     for (const { request, crashes } of reported) {
       if (!news.has(request)) {
         continue;
@@ -192,7 +192,7 @@
       log.info("Learns that upstreams ended under a request", {
         digest: request,
         upstreams: crashes.map(({ upstream }) => upstream).join(" "),
-        standing: book.standing(request, now),
+        standing: book.statusOf(request, now),
       });
     }
   }
@@ -222,7 +222,7 @@
   }
 
   #isKnown(request: RequestIdentity): boolean {
-    return this.#options.book.mayKnow(request.size);
+    return this.#options.book.hasSuspectOfSize(request.size);
   }
 
   #probe(upstream: string, address: string): Promise<void> {
--- a/apps/heroncleatd/common/crash_watch_test.ts
+++ b/apps/heroncleatd/common/crash_watch_test.ts
@@ -1,8 +1,8 @@
 import {
-  CrashBook,
-  CrashStanding,
   type ReportedSuspect,
   RevisionCounter,
+  SuspectRegistry,
+  SuspectStatus,
 } from "@heroncleat/serving";
 import { CrashWatch } from "./crash_watch.ts";
 import type { RequestIdentity } from "./request_identity.ts";
@@ -29,7 +29,7 @@
   readonly told: ReportedSuspect[] = [];
   probes = 0;
   readonly watch = new CrashWatch({
-    book: new CrashBook({
+    book: new SuspectRegistry({
       revisions: new RevisionCounter(),
       countUpstreams: () => 20,
     }),
@@ -64,14 +64,14 @@
   for (const upstream of ["u1", "u2", "u3", "u4"]) {
     await test.breakAt(request, upstream);
   }
-  expect(test.watch.standing(request)).toBe(CrashStanding.unsuspected);
+  expect(test.watch.standing(request)).toBe(SuspectStatus.unsuspected);
   expect(test.told).toEqual([]);
 });
 
 test("ends are told at once, and a repeat waits until they are known", async () => {
   const test = new TestWatch();
   const request = identify("r");
-  const standings: CrashStanding[] = [];
+  const standings: SuspectStatus[] = [];
   for (const upstream of ["u1", "u2", "u3"]) {
     test.gone.add(upstream);
     await test.breakAt(request, upstream);
@@ -81,7 +81,7 @@
   expect(test.ended).toEqual(["u1", "u2", "u3"]);
   expect(test.told.map(({ crashes }) => crashes.length)).toEqual([1, 2, 3]);
   test.watch.noteAnswer(request);
-  expect(test.watch.standing(request)).toBe(CrashStanding.unsuspected);
+  expect(test.watch.standing(request)).toBe(SuspectStatus.unsuspected);
   expect(test.told.at(-1)!.answeredAge).toBe(0);
 });
 
@@ -93,19 +93,19 @@
   test.now += 4000;
   test.watch.expire();
   test.watch.noteEnd("u1");
-  expect(test.watch.standing(soon)).toBe(CrashStanding.watched);
+  expect(test.watch.standing(soon)).toBe(SuspectStatus.watched);
   await test.breakAt(late, "u2");
   test.now += 9000;
   test.watch.expire();
   test.watch.noteEnd("u2");
-  expect(test.watch.standing(late)).toBe(CrashStanding.unsuspected);
+  expect(test.watch.standing(late)).toBe(SuspectStatus.unsuspected);
 });
 
 test("an end that is known already needs no probe", async () => {
   const test = new TestWatch();
   test.over.add("u1");
   await test.breakAt(identify("r"), "u1");
-  expect(test.watch.standing(identify("r"))).toBe(CrashStanding.watched);
+  expect(test.watch.standing(identify("r"))).toBe(SuspectStatus.watched);
   expect(test.probes).toBe(0);
 });
 
--- a/apps/heroncleatd/entry/crash_sharing.ts
+++ b/apps/heroncleatd/entry/crash_sharing.ts
@@ -6,10 +6,10 @@
   type SuspectNotice,
 } from "@heroncleat/schema";
 import {
-  CrashBook,
+  instanceId,
   type ReportedSuspect,
   RevisionCounter,
-  startId,
+  SuspectRegistry,
 } from "@heroncleat/serving";
 import { CrashWatch } from "../common/crash_watch.ts";
 import { probeUpstream } from "../common/probe_upstream.ts";
@@ -27,7 +27,7 @@
 export class CrashSharing {
   readonly watch: CrashWatch;
   readonly #context: ProcessContext;
-  readonly #book: CrashBook;
+  readonly #book: SuspectRegistry;
   /** Incarnations of the upstreams that announce themselves, by name. */
   readonly #upstreams = new Map<string, number>();
   /** Those that have said that they leave, and end as they said. */
@@ -39,7 +39,7 @@
   constructor(context: ProcessContext) {
     const { clock, metrics } = context;
     this.#context = context;
-    this.#book = new CrashBook({
+    this.#book = new SuspectRegistry({
       revisions: new RevisionCounter(),
       // Those of other services make rejections later, never wrong.
       countUpstreams: () => this.#upstreams.size,
@@ -63,7 +63,7 @@
 
   /** The identity of the present start of an upstream. */
   startOf(name: string): string {
-    return startId(name, this.#upstreams.get(name));
+    return instanceId(name, this.#upstreams.get(name));
   }
 
   isLeaving(name: string): boolean {
--- a/apps/heroncleatd/entry/request_host.ts
+++ b/apps/heroncleatd/entry/request_host.ts
@@ -7,7 +7,7 @@
 } from "@heroncleat/requests";
 import { isPaceSample, RequestPhase } from "@heroncleat/requests";
 import type { ForwardedAnswer } from "@heroncleat/schema";
-import { CrashStanding } from "@heroncleat/serving";
+import { SuspectStatus } from "@heroncleat/serving";
 import { buildUpstreamBody } from "./build_upstream_body.ts";
 import type { RequestIdentity } from "../common/request_identity.ts";
 import type { EntryContext } from "./entry_context.ts";
@@ -127,7 +127,7 @@
     this.#closeAttempt("failed");
     await context.crashes.decided(this.#identity);
     const standing = context.crashes.standing(this.#identity);
-    if (standing === CrashStanding.rejected) {
+    if (standing === SuspectStatus.rejected) {
       this.#notify({ kind: "rejected" });
       return;
     }
--- a/apps/heroncleatd/entry/withhold.ts
+++ b/apps/heroncleatd/entry/withhold.ts
@@ -1,5 +1,5 @@
 import { createFault, type Fault } from "@heroncleat/base";
-import { CrashStanding } from "@heroncleat/serving";
+import { SuspectStatus } from "@heroncleat/serving";
 import type { CrashWatch } from "../common/crash_watch.ts";
 import type { RequestIdentity } from "../common/request_identity.ts";
 
@@ -11,7 +11,7 @@
   request: RequestIdentity,
 ): Fault | undefined {
   const standing = crashes.standing(request);
-  if (standing === CrashStanding.rejected) {
+  if (standing === SuspectStatus.rejected) {
     return createFault(
       "bad_request",
       "Several upstreams ended while they ran this very request, so it isn't " +
@@ -19,7 +19,7 @@
         "time after the upstreams were mended.",
     );
   }
-  if (standing === CrashStanding.single && crashes.isUnderWay(request)) {
+  if (standing === SuspectStatus.single && crashes.isUnderWay(request)) {
     return createFault(
       "overloaded",
       "Upstreams ended while they ran this very request, and another copy of " +
--- a/apps/heroncleatd/gateway/attempt.ts
+++ b/apps/heroncleatd/gateway/attempt.ts
@@ -2,8 +2,8 @@
 import type { Milliseconds } from "@heroncleat/base";
 import {
   type ChosenUpstream,
-  CrashStanding,
   findOverload,
+  SuspectStatus,
 } from "@heroncleat/serving";
 import type { CallerRequest } from "./caller_request.ts";
 import type { ForwardContext } from "./forward_context.ts";
@@ -73,13 +73,13 @@
   const { choice, clock, crashes } = context;
   await crashes.decided(call.identity);
   const standing = await waitForTurn(call, options);
-  if (standing === CrashStanding.rejected) {
+  if (standing === SuspectStatus.rejected) {
     return { kind: "rejected" };
   }
-  if (standing === CrashStanding.single && crashes.isUnderWay(call.identity)) {
+  if (standing === SuspectStatus.single && crashes.isUnderWay(call.identity)) {
     return { kind: "held" };
   }
-  const prefersIdle = standing !== CrashStanding.unsuspected;
+  const prefersIdle = standing !== SuspectStatus.unsuspected;
   const chosen = await waitForUpstream(call, { ...options, prefersIdle });
   if (chosen === undefined) {
     return { kind: "no_upstream" };
@@ -225,11 +225,11 @@
 async function waitForTurn(
   call: CallerRequest,
   { context, signal, waitUntil }: AttemptOptions,
-): Promise<CrashStanding> {
+): Promise<SuspectStatus> {
   const { crashes, clock } = context;
   let standing = crashes.standing(call.identity);
   while (
-    standing === CrashStanding.single && crashes.isUnderWay(call.identity) &&
+    standing === SuspectStatus.single && crashes.isUnderWay(call.identity) &&
     !signal.aborted && clock.steady() < waitUntil
   ) {
     await new Promise((resolve) => setTimeout(resolve, LOOK_INTERVAL));
--- a/apps/heroncleatd/gateway/charge_sharing.ts
+++ b/apps/heroncleatd/gateway/charge_sharing.ts
@@ -57,8 +57,8 @@
   ): Pick<SyncRequest, "relayedCharges" | "wantedCharges"> {
     const { clock } = this.#options;
     return {
-      relayedCharges: this.#relay.passOnTo(feed, clock.steady()),
-      wantedCharges: this.#relay.wantedFrom(feed),
+      relayedCharges: this.#relay.chargesToRelay(feed, clock.steady()),
+      wantedCharges: this.#relay.entriesToRequest(feed),
     };
   }
 
@@ -67,7 +67,7 @@
     const { quota, clock, countEntries } = this.#options;
     const now = clock.steady();
     const { feed, spentByOthers, shared, unheard, charges, entries } = reply;
-    this.#relay.noteReply(feed, {
+    this.#relay.handleReply(feed, {
       unheard: unheard ?? [],
       listed: entries?.map(({ name }) => name),
       charges: charges ?? {},
@@ -99,7 +99,7 @@
     const now = clock.steady();
     const { entry, boot, spent } = notice;
     this.#isolated.receive(notice, now);
-    this.#relay.receive(entry, { boot, spent }, now);
+    this.#relay.record(entry, { boot, spent }, now);
     // One that is isolated itself sends to everyone anyway.
     if (notice.wantsAnswer && isConnected()) {
       answer(this.#describeSelf(), from);
--- a/apps/heroncleatd/gateway/control_links.ts
+++ b/apps/heroncleatd/gateway/control_links.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds } from "@heroncleat/base";
 import {
   CounterReport,
-  exchangePause,
+  exchangeInterval,
   type KnownEntry,
   median,
   type ReplicaList,
@@ -177,8 +177,8 @@
 
   get #lookPause(): Milliseconds {
     return this.#options.isWaiting()
-      ? exchangePause.first(this.#entryCount)
-      : exchangePause.look(this.#entryCount);
+      ? exchangeInterval.initial(this.#entryCount)
+      : exchangeInterval.check(this.#entryCount);
   }
 
   /** Entries that report to any replica in reach. */
@@ -220,8 +220,8 @@
     const isShort = this.#primary !== "" && link.address !== this.#primary &&
       this.#isInTouch(link);
     const pause = isShort
-      ? exchangePause.short(link.entryCount)
-      : exchangePause.whole(link.entryCount);
+      ? exchangeInterval.short(link.entryCount)
+      : exchangeInterval.full(link.entryCount);
     // Looks come a little early or late.
     return now - link.askedAt >= pause - this.#lookPause / 2;
   }
@@ -367,7 +367,7 @@
 
   #noteFailure(link: ControlLink): void {
     link.hasFailed = true;
-    link.report.noteFailure();
+    link.report.handleFailure();
     this.#choosePrimary();
   }
 
@@ -380,7 +380,7 @@
     link.receivedAt = now;
     link.isLeading = reply.isLeading;
     link.wallOffset = reply.wall - (askedAt + now) / 2;
-    link.report.noteReply(reply);
+    link.report.handleReply(reply);
     const isListNew = takeEntryList(link.entries, reply);
     if (isListNew) {
       this.#listed = undefined;
--- a/apps/heroncleatd/gateway/control_links_test.ts
+++ b/apps/heroncleatd/gateway/control_links_test.ts
@@ -200,7 +200,7 @@
     revision: known.revision,
     takesChanges: true,
     documentVersion: -1,
-    ...known.report.describe(known.feed, {
+    ...known.report.build(known.feed, {
       spent: {},
       readWork: {},
       usage: {},
--- a/apps/heroncleatd/gateway/entry_exchange.ts
+++ b/apps/heroncleatd/gateway/entry_exchange.ts
@@ -1,10 +1,10 @@
 import { type Clock, type Milliseconds, splitAddress } from "@heroncleat/base";
 import {
-  type CrashBook,
+  documentCodec,
   type KnownEntry,
-  packedDocument,
   RecentMaximum,
   type SharedState,
+  type SuspectRegistry,
   type SyncReply,
   type SyncRequest,
   type UpdateSource,
@@ -38,7 +38,7 @@
   readonly usage: UsageCounts;
   readonly charges: ChargeSharing;
   readonly crashes: CrashWatch;
-  readonly book: CrashBook;
+  readonly book: SuspectRegistry;
   /** Whether callers may be sent here. */
   readonly isOpen: () => boolean;
   /** Version of the document in force; -1 for none. */
@@ -102,7 +102,7 @@
       takesChanges: true,
       loadsSince: known.loadsSince,
       documentVersion: this.#options.documentVersion(),
-      ...known.report.describe(known.feed, {
+      ...known.report.build(known.feed, {
         spent: quota.spent(),
         readWork: choice.readWork(),
         usage: usage.list(),
@@ -130,7 +130,7 @@
     }
     this.#learnEntries(now);
     if (reply.document !== undefined) {
-      onDocument(packedDocument.unpack(reply.document));
+      onDocument(documentCodec.decode(reply.document));
     }
     charges.learn(reply);
     this.#options.crashes.learn(reply.suspects ?? []);
@@ -171,7 +171,7 @@
    */
   #endEarlierStarts(): void {
     const { directory, agents, choice, crashes, log } = this.#options;
-    const isOver = (id: string) => directory.isOver(id);
+    const isOver = (id: string) => directory.isReplaced(id);
     for (const id of agents.removeWhere(isOver)) {
       crashes.noteEnd(id);
       choice.forget(id);
--- a/apps/heroncleatd/gateway/forwarding_test.ts
+++ b/apps/heroncleatd/gateway/forwarding_test.ts
@@ -2,11 +2,11 @@
 import { type AddressInfo, connect } from "node:net";
 import { createSystemClock } from "@heroncleat/base";
 import {
-  CrashBook,
   RetryAllowance,
   RevisionCounter,
   type Route,
   RouteKind,
+  SuspectRegistry,
   UpstreamChoice,
   UpstreamDirectory,
 } from "@heroncleat/serving";
@@ -511,7 +511,7 @@
     metrics,
     leaving: new LeaveDeadline(clock),
     crashes: new CrashWatch({
-      book: new CrashBook({
+      book: new SuspectRegistry({
         revisions: new RevisionCounter(),
         countUpstreams: () => upstreams.length,
       }),
--- a/apps/heroncleatd/gateway/simulated_quotas.ts
+++ b/apps/heroncleatd/gateway/simulated_quotas.ts
@@ -226,7 +226,7 @@
       documentVersion: 1,
       takesChanges: true,
       loadsSince: known.loadsSince,
-      ...known.report.describe(known.feed, {
+      ...known.report.build(known.feed, {
         spent: this.#entries[host]!.quota.spent(),
         readWork: {},
         usage: {},
--- a/apps/heroncleatd/gateway/start_gateway.ts
+++ b/apps/heroncleatd/gateway/start_gateway.ts
@@ -11,13 +11,13 @@
   SuspectNotice,
 } from "@heroncleat/schema";
 import {
-  CrashBook,
   type KnownEntry,
   NoticeThreshold,
   type ReportedSuspect,
   RetryAllowance,
   RevisionCounter,
   RouteTable,
+  SuspectRegistry,
   UpstreamChoice,
   UpstreamDirectory,
   UsageCounts,
@@ -102,7 +102,7 @@
   readonly #choice = new UpstreamChoice();
   readonly #agents = new UpstreamAgents();
   readonly #allowances = new Map<string, RetryAllowance>();
-  readonly #crashBook = new CrashBook({
+  readonly #crashBook = new SuspectRegistry({
     revisions: new RevisionCounter(),
     countUpstreams: (service) => this.#directory.countReady(service),
   });
@@ -142,7 +142,7 @@
       log: this.#log,
       metrics: options.metrics,
       probe: probeUpstream,
-      isOver: (upstream) => this.#directory.isOver(upstream),
+      isOver: (upstream) => this.#directory.isReplaced(upstream),
       onEnd: (upstream, at) => this.#choice.noteEnd(upstream, at),
       report: (news) => this.#reportSuspects(news),
     });
@@ -407,7 +407,7 @@
 
   #forget(): void {
     this.#crashes.expire();
-    this.#directory.forget(this.#options.clock.steady());
+    this.#directory.expire(this.#options.clock.steady());
     const isGone = (id: string) => this.#directory.get(id) === undefined;
     for (const id of this.#agents.removeWhere(isGone)) {
       this.#choice.forget(id);
--- a/apps/heroncleatd/gateway/upstream_restart_test.ts
+++ b/apps/heroncleatd/gateway/upstream_restart_test.ts
@@ -1,10 +1,10 @@
 import { request } from "node:http";
 import { createSystemClock } from "@heroncleat/base";
 import {
+  instanceId,
   type ReportedSuspect,
   RouteKind,
   type ServingDocument,
-  startId,
   type SyncReply,
   type SyncRequest,
   type UpstreamRecord,
@@ -35,7 +35,7 @@
 
 function record(born: number, address: string): UpstreamRecord {
   return {
-    id: startId("u1", born),
+    id: instanceId("u1", born),
     name: "u1",
     born,
     service: "desk",
--- a/apps/heroncleatd/hub/crash_store.ts
+++ b/apps/heroncleatd/hub/crash_store.ts
@@ -2,7 +2,7 @@
 import { join } from "node:path";
 import type { Clock, Milliseconds } from "@heroncleat/base";
 import { writeFileDurably } from "@heroncleat/journal";
-import type { CrashBook, ReportedSuspect } from "@heroncleat/serving";
+import type { ReportedSuspect, SuspectRegistry } from "@heroncleat/serving";
 import type { Log } from "../common/log.ts";
 
 const FILE_NAME = "suspects.json";
@@ -14,7 +14,7 @@
 
 /** What the store is built from. */
 type StoreOptions = {
-  readonly book: CrashBook;
+  readonly book: SuspectRegistry;
   readonly folder: string;
   readonly clock: Clock;
   readonly log: Log;
@@ -62,7 +62,7 @@
       }
       const since = Math.max(0, clock.wall() - stored.wall);
       const aged = stored.suspects.map((suspect) => olderBy(suspect, since));
-      book.learn(aged, clock.steady());
+      book.merge(aged, clock.steady());
       log.info("Knows requests under which upstreams ended", {
         count: aged.length,
       });
--- a/apps/heroncleatd/hub/duty_runner.ts
+++ b/apps/heroncleatd/hub/duty_runner.ts
@@ -142,9 +142,9 @@
       requests,
       backlog,
       clockAhead: Math.round(
-        clock.wall() - (hub.estimateWall(now) ?? clock.wall()),
+        clock.wall() - (hub.estimateWallTime(now) ?? clock.wall()),
       ),
-      readWork: Math.round(sum(Object.values(hub.totalReadWork()))),
+      readWork: Math.round(sum(Object.values(hub.totalPrefillWork()))),
     });
   }
 
@@ -154,7 +154,7 @@
     const now = clock.steady();
     const upstreams = this.#presentUpstreams();
     const loads = hub.totalLoads(now);
-    const readWork = hub.totalReadWork();
+    const readWork = hub.totalPrefillWork();
     const speeds = hub.readingSpeeds(now);
     const hasWork = Object.values(readWork).some((work) => work > 0);
     this.#isIdle &&= !hasWork && Object.keys(loads).length === 0;
@@ -235,7 +235,7 @@
 
   async #reportUsage(): Promise<void> {
     const { hub, clock, usageWindow, usageDelay, settled } = this.#options;
-    const wall = hub.estimateWall(clock.steady());
+    const wall = hub.estimateWallTime(clock.steady());
     if (wall === undefined) {
       return;
     }
@@ -257,7 +257,7 @@
 
   async #settle(window: number, wall: Milliseconds): Promise<void> {
     const { hub, usageWindow, usageDelay, propose } = this.#options;
-    const counts = hub.usageOf(window);
+    const counts = hub.usageInWindow(window);
     const isLate = wall - (window + 1) * usageWindow > usageDelay;
     // Nothing was counted before this process began to listen.
     if (isLate && Object.keys(counts).length === 0) {
--- a/apps/heroncleatd/hub/feed_reader.ts
+++ b/apps/heroncleatd/hub/feed_reader.ts
@@ -59,7 +59,7 @@
         timeout: TIMEOUT,
       }) as FeedReply;
       const now = clock.steady();
-      for (const leaving of hub.learnFeed(reply, now, { reporter: address })) {
+      for (const leaving of hub.mergeFeed(reply, now, { reporter: address })) {
         log.info(`Learns that an upstream is ${leaving.state}`, {
           upstream: leaving.id,
           by: address,
--- a/apps/heroncleatd/hub/restarting_upstream.ts
+++ b/apps/heroncleatd/hub/restarting_upstream.ts
@@ -1,5 +1,5 @@
 import { createServer, type Server } from "node:http";
-import { startId, type UpstreamRecord } from "@heroncleat/serving";
+import { instanceId, type UpstreamRecord } from "@heroncleat/serving";
 
 const HOST = "127.0.0.1";
 
@@ -95,7 +95,7 @@
     const { name, port, report } = this.#options;
     this.#sequence += 1;
     report({
-      id: startId(name, this.#born),
+      id: instanceId(name, this.#born),
       name,
       born: this.#born,
       service: "desk",
--- a/apps/heroncleatd/hub/simulated_leaves.ts
+++ b/apps/heroncleatd/hub/simulated_leaves.ts
@@ -243,9 +243,9 @@
       for (const other of this.#running()) {
         if (other !== reader) {
           const whole = { feed: "", revision: 0 };
-          const reply = other.hub.answerFeed(whole, this.#now);
+          const reply = other.hub.createFeedReply(whole, this.#now);
           const reporter = other.address;
-          reader.hub.learnFeed(reply, this.#now, { reporter });
+          reader.hub.mergeFeed(reply, this.#now, { reporter });
         }
       }
     }
@@ -259,7 +259,7 @@
           continue;
         }
         const known = entry.feeds.get(address) ?? { feed: "", revision: 0 };
-        const reply = hub.answerFeed(known, this.#now);
+        const reply = hub.createFeedReply(known, this.#now);
         for (const record of reply.upstreams) {
           const age = reply.ages?.[record.id] ?? 0;
           const source = { reporter: address, age };
--- a/apps/heroncleatd/hub/start_hub.ts
+++ b/apps/heroncleatd/hub/start_hub.ts
@@ -98,12 +98,12 @@
   options.serve({
     "hub.sync": (parameters) => sync(parameters as SyncRequest),
     "hub.feed": (parameters) =>
-      hub.answerFeed(parameters as FeedRequest, clock.steady()),
+      hub.createFeedReply(parameters as FeedRequest, clock.steady()),
     ...updates.methods(),
     [hubCalls.suspects]: () => hub.crashes.list(clock.steady()),
     [hubCalls.clearSuspect]: (parameters) => {
       const { request } = parameters as { request: string };
-      const isNews = hub.crashes.noteAnswer(request, clock.steady());
+      const isNews = hub.crashes.recordCompletion(request, clock.steady());
       operations.info("An operator clears a request", {
         request,
         known: isNews ? "yes" : "no",
--- a/apps/heroncleatd/hub/usage_store.ts
+++ b/apps/heroncleatd/hub/usage_store.ts
@@ -56,7 +56,7 @@
       const text = await readFile(join(folder, FILE_NAME), "utf8");
       const stored = JSON.parse(text) as { version: number; usage: unknown };
       if (stored.version === VERSION) {
-        hub.learnUsage(stored.usage as ProcessUsage);
+        hub.mergeUsage(stored.usage as ProcessUsage);
       }
     } catch (error) {
       if ((error as NodeJS.ErrnoException).code !== "ENOENT") {
--- a/apps/heroncleatd/hub/usage_store_test.ts
+++ b/apps/heroncleatd/hub/usage_store_test.ts
@@ -35,15 +35,15 @@
     const store = new UsageStore({ hub, folder, log });
     await store.read();
     store.start();
-    hub.learnUsage({ a: { 7: { inn: 40 } } });
+    hub.mergeUsage({ a: { 7: { inn: 40 } } });
     await untilKept("40");
-    hub.learnUsage({ a: { 7: { inn: 41 } } });
+    hub.mergeUsage({ a: { 7: { inn: 41 } } });
     await untilKept("41");
     store.stop();
     const later = new Hub("g");
     await new UsageStore({ hub: later, folder, log }).read();
-    later.learnUsage({ b: { 7: { inn: 2 } } });
-    expect(later.usageOf(7)).toEqual({ inn: 43 });
+    later.mergeUsage({ b: { 7: { inn: 2 } } });
+    expect(later.usageInWindow(7)).toEqual({ inn: 43 });
     expect(warnings).toEqual([]);
   });
 
@@ -51,7 +51,7 @@
     writeFileSync(join(folder, "usage.json"), '{"version":1,"us');
     const hub = new Hub("f");
     await new UsageStore({ hub, folder, log }).read();
-    expect(hub.usageOf(7)).toEqual({});
+    expect(hub.usageInWindow(7)).toEqual({});
     expect(warnings).toHaveLength(1);
   });
 
@@ -62,7 +62,7 @@
     const store = new UsageStore({ hub, folder: missing, log });
     store.start();
     for (const count of [1, 2, 3]) {
-      hub.learnUsage({ a: { 7: { inn: count } } });
+      hub.mergeUsage({ a: { 7: { inn: count } } });
       await sleep(150);
     }
     store.stop();
--- a/packages/bench/slopes/crash_slope.ts
+++ b/packages/bench/slopes/crash_slope.ts
@@ -1,5 +1,5 @@
 import { createHash, randomBytes } from "node:crypto";
-import { CrashBook, RevisionCounter } from "@heroncleat/serving";
+import { RevisionCounter, SuspectRegistry } from "@heroncleat/serving";
 
 /** What it costs to know of a number of suspected requests. */
 type CrashCost = {
@@ -20,12 +20,12 @@
 
 /** Fills a book with suspects, two ends each, and times its use. */
 export function measureCrashes(suspects: number): CrashCost {
-  const book = new CrashBook({
+  const book = new SuspectRegistry({
     revisions: new RevisionCounter(),
     countUpstreams: () => UPSTREAMS,
   });
   const note = (request: number, upstream: string, at: number) =>
-    book.noteCrash({
+    book.recordCrash({
       request: digestOf(Buffer.from(`${request}`)),
       workspace: `w${request % WORKSPACES}`,
       service: "desk",
@@ -37,15 +37,15 @@
   const now = 20 * suspects + 1000;
   const body = randomBytes(SIZE);
   return {
-    nanosecondsUnlike: timeEach(LOOKUPS, () => book.mayKnow(1)) * 1e6,
+    nanosecondsUnlike: timeEach(LOOKUPS, () => book.hasSuspectOfSize(1)) * 1e6,
     microsecondsAlike: timeEach(LOOKUPS, () => {
-      if (book.mayKnow(SIZE)) {
-        book.standing(digestOf(body), now);
+      if (book.hasSuspectOfSize(SIZE)) {
+        book.statusOf(digestOf(body), now);
       }
     }) * 1000,
     judgeMilliseconds: suspects === 0 ? 0 : timeEach(ENDS, (at) => {
       note(at % suspects, `v${at}`, now + at);
-      book.standing(digestOf(Buffer.from("0")), now + 1000);
+      book.statusOf(digestOf(Buffer.from("0")), now + 1000);
     }),
     wholeKilobytes: JSON.stringify(book.changesSince(0, now)).length / 1024,
   };
--- a/packages/bench/slopes/exchange_slope.ts
+++ b/packages/bench/slopes/exchange_slope.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { exchangePause } from "@heroncleat/serving";
+import { exchangeInterval } from "@heroncleat/serving";
 import { SimulatedExchange } from "./simulated_exchange.ts";
 
 /** Upstreams and workspaces that go with a number of entries. */
@@ -40,7 +40,7 @@
     const group = new SimulatedExchange({
       ...size,
       requestsPerSecond: size.entries * REQUESTS_PER_ENTRY,
-      pause: exchangePause.whole(size.entries),
+      pause: exchangeInterval.full(size.entries),
     });
     group.run(SETTLE);
     yield* measure(group, size, "steady");
--- a/packages/bench/slopes/simulated_exchange.ts
+++ b/packages/bench/slopes/simulated_exchange.ts
@@ -267,7 +267,7 @@
       documentVersion,
       takesChanges: true,
       loadsSince: entry.loadsSince,
-      ...entry.report.describe(feed, {
+      ...entry.report.build(feed, {
         spent: { ...entry.spent },
         readWork: { writers: entry.readWork },
         usage: structuredClone(entry.usage),
@@ -293,7 +293,7 @@
     entry.feed = reply.feed;
     entry.revision = reply.revision;
     entry.loadsSince = reply.revision;
-    entry.report.noteReply(reply);
+    entry.report.handleReply(reply);
     if (reply.document !== undefined) {
       entry.documentVersion = this.#version;
     }
--- a/packages/serving/change_log.ts
+++ b/packages/serving/change_log.ts
@@ -2,7 +2,7 @@
 type Change = { readonly id: string; readonly revision: number };
 
 /** Superseded changes that are kept beside as many living ones. */
-const SPARE_CHANGES = 64;
+const COMPACTION_SLACK = 64;
 
 /**
  * Which things changed behind a revision, at the cost of those that did: the
@@ -11,42 +11,44 @@
  * @internal
  */
 export class ChangeLog {
-  readonly #newest = new Map<string, number>();
+  readonly #latestRevisions = new Map<string, number>();
   #changes: Change[] = [];
 
   /** Notes a change; revisions must come in order. */
-  note(id: string, revision: number): void {
-    this.#newest.set(id, revision);
+  record(id: string, revision: number): void {
+    this.#latestRevisions.set(id, revision);
     this.#changes.push({ id, revision });
-    if (this.#changes.length > 2 * this.#newest.size + SPARE_CHANGES) {
-      this.#changes = this.#changes.filter((change) => this.#isNewest(change));
+    if (
+      this.#changes.length > 2 * this.#latestRevisions.size + COMPACTION_SLACK
+    ) {
+      this.#changes = this.#changes.filter((change) => this.#isLatest(change));
     }
   }
 
-  drop(id: string): void {
-    this.#newest.delete(id);
+  remove(id: string): void {
+    this.#latestRevisions.delete(id);
   }
 
   ids(): Iterable<string> {
-    return this.#newest.keys();
+    return this.#latestRevisions.keys();
   }
 
   /** What changed behind a revision, the oldest change first. */
-  since(revision: number): string[] {
+  idsSince(revision: number): string[] {
     const ids: string[] = [];
-    for (let at = this.#changes.length - 1; at >= 0; at -= 1) {
-      const change = this.#changes[at]!;
+    for (let index = this.#changes.length - 1; index >= 0; index -= 1) {
+      const change = this.#changes[index]!;
       if (change.revision <= revision) {
         break;
       }
-      if (this.#isNewest(change)) {
+      if (this.#isLatest(change)) {
         ids.push(change.id);
       }
     }
     return ids.reverse();
   }
 
-  #isNewest({ id, revision }: Change): boolean {
-    return this.#newest.get(id) === revision;
+  #isLatest({ id, revision }: Change): boolean {
+    return this.#latestRevisions.get(id) === revision;
   }
 }
--- a/packages/serving/charge_exchange.ts
+++ b/packages/serving/charge_aggregator.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { ChargeBook } from "./charge_book.ts";
+import { ChargeTotals } from "./charge_totals.ts";
 import type { RevisionCounter } from "./revision_counter.ts";
-import type { RelayedCharges } from "./relayed_charges.ts";
-import type { ReportedCharges } from "./reported_charges.ts";
+import type { RelayedChargeReport } from "./relayed_charge_report.ts";
+import type { ChargeReport } from "./charge_report.ts";
 
 /**
  * Silence after which an entry may be using its share of the quotas by itself:
@@ -10,13 +10,13 @@
  * everybody's share for twice as long, and a workspace that asked for six times
  * its usual overran what is tolerated by 1 % (one of 40 hunted days).
  */
-const SILENT_AFTER: Milliseconds = 600;
+const ENTRY_TIMEOUT: Milliseconds = 600;
 /** The same with many entries, whose exchanges are further apart. */
-const MOST_SILENT_AFTER: Milliseconds = 1200;
+const MAX_ENTRY_TIMEOUT: Milliseconds = 1200;
 /** Entries from which their exchanges with a replica are further apart. */
-const PACED_ENTRIES = 32;
+const ENTRY_SCALING_THRESHOLD = 32;
 /** Entries that are named as unheard, or asked for, at most. */
-const MOST_NAMED = 32;
+const MAX_NAMED_ENTRIES = 32;
 
 /** An entry as this replica last known of it. */
 type ReportedEntry = {
@@ -33,12 +33,12 @@
  *
  * @internal
  */
-export class ChargeExchange {
-  readonly #book: ChargeBook;
+export class ChargeAggregator {
+  readonly #totals: ChargeTotals;
   readonly #entries = new Map<string, ReportedEntry>();
 
   constructor(revisions?: RevisionCounter) {
-    this.#book = new ChargeBook(revisions);
+    this.#totals = new ChargeTotals(revisions);
   }
 
   /**
@@ -46,51 +46,57 @@
    *
    * @returns Whether it could be taken; if not, the entry must report all.
    */
-  receive(
+  applyReport(
     entry: string,
-    reported: ReportedCharges,
+    report: ChargeReport,
     now: Milliseconds,
   ): boolean {
-    const isTaken = this.#book.receive(entry, reported, now);
-    if (isTaken || this.#entries.has(entry)) {
+    const isAccepted = this.#totals.applyReport(entry, report, now);
+    if (isAccepted || this.#entries.has(entry)) {
       this.#entries.set(entry, { receivedAt: now, reportedAt: now });
     }
-    return isTaken;
+    return isAccepted;
   }
 
   /** Takes in what another one reports of an entry, unless more is known. */
-  learn(entry: string, relayed: RelayedCharges, now: Milliseconds): void {
+  applyRelayedReport(
+    entry: string,
+    relayed: RelayedChargeReport,
+    now: Milliseconds,
+  ): void {
     const { boot, spent, age } = relayed;
     const receivedAt = now - age;
     const known = this.#entries.get(entry);
     if (known !== undefined && known.receivedAt >= receivedAt) {
       return;
     }
-    this.#book.receive(entry, { boot, spent }, receivedAt);
+    this.#totals.applyReport(entry, { boot, spent }, receivedAt);
     const reportedAt = known?.reportedAt ?? -Infinity;
     this.#entries.set(entry, { receivedAt, reportedAt });
   }
 
   /** Forgets entries that didn't report since; what they spent stays. */
-  forget(before: Milliseconds): void {
+  removeStale(before: Milliseconds): void {
     for (const [entry, { receivedAt }] of this.#entries) {
       if (receivedAt < before) {
-        this.#book.drop(entry);
+        this.#totals.remove(entry);
         this.#entries.delete(entry);
       }
     }
   }
 
   /** Charges of all entries but one, by quota bucket; see ChargeBook. */
-  sumWithout(entry: string, since?: number): Record<string, number> {
-    return this.#book.sumWithout(entry, since);
+  sumExcluding(entry: string, since?: number): Record<string, number> {
+    return this.#totals.sumExcluding(entry, since);
   }
 
   /** Names of entries that don't report to this replica any more. */
-  unheard(now: Milliseconds): string[] {
+  listUnresponsive(now: Milliseconds): string[] {
     const names: string[] = [];
     for (const [name, { reportedAt }] of this.#entries) {
-      if (now - reportedAt >= this.#silence && names.length < MOST_NAMED) {
+      if (
+        now - reportedAt >= this.#timeout && names.length < MAX_NAMED_ENTRIES
+      ) {
         names.push(name);
       }
     }
@@ -98,16 +104,16 @@
   }
 
   /** What the named entries reported to this replica themselves, lately. */
-  relay(
+  recentReports(
     names: readonly string[],
     now: Milliseconds,
-  ): Record<string, RelayedCharges> {
-    const charges: Record<string, RelayedCharges> = {};
-    for (const name of names.slice(0, MOST_NAMED)) {
+  ): Record<string, RelayedChargeReport> {
+    const charges: Record<string, RelayedChargeReport> = {};
+    for (const name of names.slice(0, MAX_NAMED_ENTRIES)) {
       const age = now - (this.#entries.get(name)?.reportedAt ?? -Infinity);
-      const reported = this.#book.report(name);
-      if (reported !== undefined && age < this.#silence) {
-        charges[name] = { ...reported, age };
+      const report = this.#totals.reportOf(name);
+      if (report !== undefined && age < this.#timeout) {
+        charges[name] = { ...report, age };
       }
     }
     return charges;
@@ -117,20 +123,20 @@
    * Part of all quotas that may be handed out: entries of which nothing is
    * known may be using an even share by themselves.
    */
-  share(now: Milliseconds): number {
+  quotaShare(now: Milliseconds): number {
     const known = Math.max(1, this.#entries.size);
     let received = 0;
     for (const { receivedAt, reportedAt } of this.#entries.values()) {
       const isRelayed = receivedAt > reportedAt;
       // Updates by way of others come in their exchanges, not in its own.
-      const silence = isRelayed ? MOST_SILENT_AFTER : this.#silence;
-      received += now - receivedAt < silence ? 1 : 0;
+      const timeout = isRelayed ? MAX_ENTRY_TIMEOUT : this.#timeout;
+      received += now - receivedAt < timeout ? 1 : 0;
     }
     return received / known;
   }
 
-  get #silence(): Milliseconds {
-    const pace = Math.max(1, this.#entries.size / PACED_ENTRIES);
-    return Math.min(MOST_SILENT_AFTER, SILENT_AFTER * pace);
+  get #timeout(): Milliseconds {
+    const scale = Math.max(1, this.#entries.size / ENTRY_SCALING_THRESHOLD);
+    return Math.min(MAX_ENTRY_TIMEOUT, ENTRY_TIMEOUT * scale);
   }
 }
--- a/packages/serving/charge_relay.ts
+++ b/packages/serving/charge_relay.ts
@@ -1,11 +1,11 @@
 import type { Milliseconds } from "@heroncleat/base";
-import type { RelayedCharges } from "./relayed_charges.ts";
-import type { ReportedCharges } from "./reported_charges.ts";
+import type { RelayedChargeReport } from "./relayed_charge_report.ts";
+import type { ChargeReport } from "./charge_report.ts";
 
 /** Time for which charges that arrived elsewhere are passed on. */
-const KEPT: Milliseconds = 1000;
+const RETENTION: Milliseconds = 1000;
 /** Entries that are asked for or passed on to one replica at most. */
-const MOST_NAMED = 32;
+const MAX_NAMED_ENTRIES = 32;
 
 /** What one control replica says of the entries. */
 type ReplicaView = {
@@ -17,14 +17,14 @@
 };
 
 /** What one reply reports of other entries. */
-type ReplyPart = {
+type ReplyContents = {
   readonly unheard: readonly string[];
   readonly listed: readonly string[] | undefined;
-  readonly charges: Readonly<Record<string, RelayedCharges>>;
+  readonly charges: Readonly<Record<string, RelayedChargeReport>>;
 };
 
 /** Charges of an entry, and when it reported them. */
-type ReceivedCharges = ReportedCharges & { readonly at: Milliseconds };
+type ReceivedReport = ChargeReport & { readonly at: Milliseconds };
 
 /**
  * Carries charges between control replicas that aren't reached by the same
@@ -37,7 +37,7 @@
 export class ChargeRelay {
   readonly #self: string;
   readonly #views = new Map<string, ReplicaView>();
-  readonly #received = new Map<string, ReceivedCharges>();
+  readonly #received = new Map<string, ReceivedReport>();
 
   /** @param self Name of this entry, which reports to every replica itself. */
   constructor(self: string) {
@@ -45,49 +45,56 @@
   }
 
   /** Takes in what a replica said. */
-  noteReply(replica: string, part: ReplyPart, now: Milliseconds): void {
+  handleReply(replica: string, reply: ReplyContents, now: Milliseconds): void {
     const known = this.#views.get(replica);
     this.#views.set(replica, {
-      unheard: new Set(part.unheard),
-      listed: part.listed === undefined ? known?.listed : new Set(part.listed),
+      unheard: new Set(reply.unheard),
+      listed: reply.listed === undefined
+        ? known?.listed
+        : new Set(reply.listed),
       receivedAt: now,
     });
-    for (const [entry, { boot, spent, age }] of Object.entries(part.charges)) {
-      this.receive(entry, { boot, spent }, now - age);
+    for (const [entry, { boot, spent, age }] of Object.entries(reply.charges)) {
+      this.record(entry, { boot, spent }, now - age);
     }
-    this.#forget(now);
+    this.#removeStale(now);
   }
 
   /** Takes in what an entry reported, directly or by way of a replica. */
-  receive(entry: string, reported: ReportedCharges, at: Milliseconds): void {
+  record(entry: string, report: ChargeReport, at: Milliseconds): void {
     const known = this.#received.get(entry);
     if (known === undefined || known.at < at) {
-      this.#received.set(entry, { ...reported, at });
+      this.#received.set(entry, { ...report, at });
     }
   }
 
   /**
    * Entries of which a replica is asked, as they are silent to another one.
    */
-  wantedFrom(replica: string): string[] {
-    const missingHere = this.#missingAt(replica);
+  entriesToRequest(replica: string): string[] {
+    const unreportedHere = this.#unreportedAt(replica);
     const wanted = new Set<string>();
     for (const other of this.#views.keys()) {
-      for (const name of other === replica ? [] : this.#missingAt(other)) {
-        if (!missingHere.has(name)) {
+      for (const name of other === replica ? [] : this.#unreportedAt(other)) {
+        if (!unreportedHere.has(name)) {
           wanted.add(name);
         }
       }
     }
-    return [...wanted].slice(0, MOST_NAMED);
+    return [...wanted].slice(0, MAX_NAMED_ENTRIES);
   }
 
   /** What a replica is sent of entries that don't report to it. */
-  passOnTo(replica: string, now: Milliseconds): Record<string, RelayedCharges> {
-    const charges: Record<string, RelayedCharges> = {};
-    for (const name of [...this.#missingAt(replica)].slice(0, MOST_NAMED)) {
+  chargesToRelay(
+    replica: string,
+    now: Milliseconds,
+  ): Record<string, RelayedChargeReport> {
+    const charges: Record<string, RelayedChargeReport> = {};
+    for (
+      const name of [...this.#unreportedAt(replica)].slice(0, MAX_NAMED_ENTRIES)
+    ) {
       const known = this.#received.get(name);
-      if (known !== undefined && now - known.at < KEPT) {
+      if (known !== undefined && now - known.at < RETENTION) {
         const { boot, spent, at } = known;
         charges[name] = { boot, spent, age: now - at };
       }
@@ -96,30 +103,30 @@
   }
 
   /** A replica that has started lately may not know that an entry exists. */
-  #missingAt(replica: string): Set<string> {
+  #unreportedAt(replica: string): Set<string> {
     const view = this.#views.get(replica);
-    const missing = new Set(view?.unheard);
+    const unreported = new Set(view?.unheard);
     if (view?.listed !== undefined) {
       for (const { listed } of this.#views.values()) {
         for (const name of listed ?? []) {
           if (!view.listed.has(name)) {
-            missing.add(name);
+            unreported.add(name);
           }
         }
       }
     }
-    missing.delete(this.#self);
-    return missing;
+    unreported.delete(this.#self);
+    return unreported;
   }
 
-  #forget(now: Milliseconds): void {
+  #removeStale(now: Milliseconds): void {
     for (const [replica, { receivedAt }] of this.#views) {
-      if (now - receivedAt >= KEPT * 2) {
+      if (now - receivedAt >= RETENTION * 2) {
         this.#views.delete(replica);
       }
     }
     for (const [entry, { at }] of this.#received) {
-      if (now - at >= KEPT) {
+      if (now - at >= RETENTION) {
         this.#received.delete(entry);
       }
     }
--- a/packages/serving/charge_relay_test.ts
+++ b/packages/serving/charge_relay_test.ts
@@ -1,5 +1,5 @@
 import fc from "fast-check";
-import { ChargeExchange } from "./charge_exchange.ts";
+import { ChargeAggregator } from "./charge_aggregator.ts";
 import { ChargeRelay } from "./mod.ts";
 
 const reported = (inn: number, boot = "1") => ({ boot, spent: { inn } });
@@ -7,54 +7,54 @@
 /** One exchange of an entry with a replica, as both sides do it. */
 function exchange(
   parts: { relay: ChargeRelay; entry: string; spent: number },
-  replica: { name: string; charges: ChargeExchange },
+  replica: { name: string; charges: ChargeAggregator },
   now: number,
 ): void {
   const { relay, entry, spent } = parts;
   const { name, charges } = replica;
-  const passedOn = relay.passOnTo(name, now);
-  const wanted = relay.wantedFrom(name);
-  charges.receive(entry, reported(spent), now);
+  const passedOn = relay.chargesToRelay(name, now);
+  const wanted = relay.entriesToRequest(name);
+  charges.applyReport(entry, reported(spent), now);
   for (const [other, relayed] of Object.entries(passedOn)) {
-    charges.learn(other, relayed, now);
+    charges.applyRelayedReport(other, relayed, now);
   }
-  relay.noteReply(name, {
-    unheard: charges.unheard(now),
+  relay.handleReply(name, {
+    unheard: charges.listUnresponsive(now),
     listed: undefined,
-    charges: charges.relay(wanted, now),
+    charges: charges.recentReports(wanted, now),
   }, now);
 }
 
 describe("charges between replicas that receive different entries", () => {
   test("come by way of an entry that reaches both, within three exchanges", () => {
-    const left = { name: "left", charges: new ChargeExchange() };
-    const right = { name: "right", charges: new ChargeExchange() };
+    const left = { name: "left", charges: new ChargeAggregator() };
+    const right = { name: "right", charges: new ChargeAggregator() };
     for (const { charges } of [left, right]) {
-      charges.receive("far", reported(10), 0);
+      charges.applyReport("far", reported(10), 0);
     }
     const relay = new ChargeRelay("between");
     const parts = { relay, entry: "between", spent: 0 };
     // The far entry is silent to the left one now.
     for (let now = 700; now <= 1300; now += 100) {
-      right.charges.receive("far", reported(10 + now), now);
+      right.charges.applyReport("far", reported(10 + now), now);
       exchange(parts, left, now + 10);
       exchange(parts, right, now + 20);
     }
-    expect(left.charges.sumWithout("between").inn).toBe(1200);
-    expect(left.charges.share(1320)).toBe(1);
+    expect(left.charges.sumExcluding("between").inn).toBe(1200);
+    expect(left.charges.quotaShare(1320)).toBe(1);
   });
 
   test("aren't passed on while every entry reaches every replica", () => {
-    const left = { name: "left", charges: new ChargeExchange() };
-    const right = { name: "right", charges: new ChargeExchange() };
+    const left = { name: "left", charges: new ChargeAggregator() };
+    const right = { name: "right", charges: new ChargeAggregator() };
     const relay = new ChargeRelay("between");
     for (let now = 0; now <= 1000; now += 100) {
       for (const replica of [left, right]) {
-        replica.charges.receive("far", reported(now), now);
+        replica.charges.applyReport("far", reported(now), now);
         exchange({ relay, entry: "between", spent: 0 }, replica, now);
       }
-      expect(relay.passOnTo("left", now)).toEqual({});
-      expect(relay.wantedFrom("left")).toEqual([]);
+      expect(relay.chargesToRelay("left", now)).toEqual({});
+      expect(relay.entriesToRequest("left")).toEqual([]);
     }
   });
 
@@ -62,37 +62,37 @@
     const relay = new ChargeRelay("between");
     const listed = ["between", "far"];
     const part = { unheard: [], charges: {} };
-    relay.noteReply("old", { ...part, listed }, 0);
-    relay.noteReply("new", { ...part, listed: ["between"] }, 0);
-    expect(relay.wantedFrom("old")).toEqual(["far"]);
+    relay.handleReply("old", { ...part, listed }, 0);
+    relay.handleReply("new", { ...part, listed: ["between"] }, 0);
+    expect(relay.entriesToRequest("old")).toEqual(["far"]);
     const charges = { far: { ...reported(5), age: 50 } };
-    relay.noteReply("old", { unheard: [], listed, charges }, 100);
-    expect(relay.passOnTo("new", 120))
+    relay.handleReply("old", { unheard: [], listed, charges }, 100);
+    expect(relay.chargesToRelay("new", 120))
       .toEqual({ far: { ...reported(5), age: 70 } });
   });
 
   test("are asked of nobody once nothing was received for a second", () => {
     const relay = new ChargeRelay("between");
-    relay.receive("far", reported(5), 0);
+    relay.record("far", reported(5), 0);
     const part = { unheard: ["far"], listed: undefined, charges: {} };
-    relay.noteReply("left", part, 900);
-    expect(Object.keys(relay.passOnTo("left", 900))).toEqual(["far"]);
-    relay.noteReply("left", part, 1100);
-    expect(relay.passOnTo("left", 1100)).toEqual({});
+    relay.handleReply("left", part, 900);
+    expect(Object.keys(relay.chargesToRelay("left", 900))).toEqual(["far"]);
+    relay.handleReply("left", part, 1100);
+    expect(relay.chargesToRelay("left", 1100)).toEqual({});
   });
 
   test("only count when they are newer than what the entry said itself", () => {
-    const charges = new ChargeExchange();
-    charges.receive("far", reported(10), 0);
-    charges.receive("far", reported(30), 500);
-    charges.learn("far", { ...reported(20), age: 300 }, 600);
-    expect(charges.sumWithout("").inn).toBe(20);
-    charges.learn("far", { ...reported(45), age: 50 }, 700);
-    expect(charges.sumWithout("").inn).toBe(35);
+    const charges = new ChargeAggregator();
+    charges.applyReport("far", reported(10), 0);
+    charges.applyReport("far", reported(30), 500);
+    charges.applyRelayedReport("far", { ...reported(20), age: 300 }, 600);
+    expect(charges.sumExcluding("").inn).toBe(20);
+    charges.applyRelayedReport("far", { ...reported(45), age: 50 }, 700);
+    expect(charges.sumExcluding("").inn).toBe(35);
     // It has started again meanwhile; the older process is relayed late.
-    charges.learn("far", { ...reported(4, "2"), age: 0 }, 800);
-    charges.learn("far", { ...reported(60), age: 200 }, 900);
-    expect(charges.sumWithout("").inn).toBe(39);
+    charges.applyRelayedReport("far", { ...reported(4, "2"), age: 0 }, 800);
+    charges.applyRelayedReport("far", { ...reported(60), age: 200 }, 900);
+    expect(charges.sumExcluding("").inn).toBe(39);
   });
 
   test("add up to what was spent, in whatever order they arrive", () => {
@@ -101,8 +101,8 @@
       isRelayed: fc.boolean(),
     });
     fc.assert(fc.property(fc.array(updates, { maxLength: 60 }), (steps) => {
-      const charges = new ChargeExchange();
-      charges.receive("far", reported(0), 0);
+      const charges = new ChargeAggregator();
+      charges.applyReport("far", reported(0), 0);
       let now = 0;
       let newest = 0;
       for (const { age, isRelayed } of steps) {
@@ -110,12 +110,16 @@
         const at = isRelayed ? Math.max(0, now - age) : now;
         // The entry spends a token each millisecond.
         if (isRelayed) {
-          charges.learn("far", { ...reported(at), age: now - at }, now);
+          charges.applyRelayedReport(
+            "far",
+            { ...reported(at), age: now - at },
+            now,
+          );
         } else {
-          charges.receive("far", reported(now), now);
+          charges.applyReport("far", reported(now), now);
         }
         newest = Math.max(newest, at);
-        expect(charges.sumWithout("").inn ?? 0).toBe(newest);
+        expect(charges.sumExcluding("").inn ?? 0).toBe(newest);
       }
     }));
   });
--- a/packages/serving/reported_charges.ts
+++ b/packages/serving/charge_report.ts
@@ -1,5 +1,5 @@
 /** What one process of an entry charged, by quota bucket. @public */
-export type ReportedCharges = {
+export type ChargeReport = {
   /** Identifier of the process; new with each start. */
   readonly boot: string;
   /** Tokens since its start. */
--- a/packages/serving/charge_book.ts
+++ b/packages/serving/charge_totals.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from "@heroncleat/base";
 import { RevisionCounter } from "./revision_counter.ts";
-import type { ReportedCharges } from "./reported_charges.ts";
+import type { ChargeReport } from "./charge_report.ts";
 
 /** An entry as it last reported. */
-type KnownEntry = {
+type EntryState = {
   boot: string;
   /** Totals since the start of its process, by bucket. */
   spent: Map<string, number>;
@@ -15,7 +15,7 @@
 };
 
 /** Charges of all entries to one bucket, and when they last changed. */
-type Total = { amount: number; revision: number };
+type BucketTotal = { amount: number; revision: number };
 
 /**
  * Adds up what entries charge to workspaces from when this book first known of
@@ -27,10 +27,10 @@
  *
  * @internal
  */
-export class ChargeBook {
+export class ChargeTotals {
   readonly #revisions: RevisionCounter;
-  readonly #known = new Map<string, KnownEntry>();
-  readonly #totals = new Map<string, Total>();
+  readonly #known = new Map<string, EntryState>();
+  readonly #totals = new Map<string, BucketTotal>();
 
   constructor(revisions: RevisionCounter = new RevisionCounter()) {
     this.#revisions = revisions;
@@ -42,23 +42,23 @@
    * @returns Whether it was taken; changes of totals that this book doesn't
    * know, or a copy that differs from the entry's, need a whole report.
    */
-  receive(
+  applyReport(
     entry: string,
-    reported: ReportedCharges,
+    report: ChargeReport,
     now: Milliseconds,
   ): boolean {
     const known = this.#known.get(entry);
-    const isSame = known !== undefined && known.boot === reported.boot;
-    if (reported.isPartial && !isSame) {
+    const isSameProcess = known !== undefined && known.boot === report.boot;
+    if (report.isPartial && !isSameProcess) {
       return false;
     }
-    const before = isSame ? known.spent : new Map<string, number>();
-    const spent = reported.isPartial ? before : new Map<string, number>();
+    const previous = isSameProcess ? known.spent : new Map<string, number>();
+    const spent = report.isPartial ? previous : new Map<string, number>();
     const counted = known?.counted ?? new Map<string, number>();
-    let digest = reported.isPartial ? known!.digest : 0;
-    for (const [bucket, total] of Object.entries(reported.spent)) {
-      const change = total - (before.get(bucket) ?? 0);
-      digest += reported.isPartial ? change : total;
+    let digest = report.isPartial ? known!.digest : 0;
+    for (const [bucket, total] of Object.entries(report.spent)) {
+      const change = total - (previous.get(bucket) ?? 0);
+      digest += report.isPartial ? change : total;
       spent.set(bucket, total);
       // What was charged before this book knew the entry isn't counted.
       if (known !== undefined && change !== 0) {
@@ -66,13 +66,13 @@
         this.#add(bucket, change);
       }
     }
-    const { boot } = reported;
+    const { boot } = report;
     this.#known.set(entry, { boot, spent, counted, digest, receivedAt: now });
-    return reported.digest === undefined || reported.digest === digest;
+    return report.digest === undefined || report.digest === digest;
   }
 
   /** What a known entry reported, whole. */
-  report(entry: string): ReportedCharges | undefined {
+  reportOf(entry: string): ChargeReport | undefined {
     const known = this.#known.get(entry);
     return known === undefined
       ? undefined
@@ -80,7 +80,7 @@
   }
 
   /** Notes that an entry is gone; what it charged stays in the sums. */
-  drop(entry: string): void {
+  remove(entry: string): void {
     this.#known.delete(entry);
   }
 
@@ -89,7 +89,7 @@
    *
    * @param since Revision behind which a bucket's sum must have changed.
    */
-  sumWithout(entry: string, since = 0): Record<string, number> {
+  sumExcluding(entry: string, since = 0): Record<string, number> {
     const own = this.#known.get(entry)?.counted;
     const sums: Record<string, number> = {};
     for (const [bucket, { amount, revision }] of this.#totals) {
@@ -101,7 +101,7 @@
   }
 
   /** Names of the entries that reported since a time. */
-  receivedSince(since: Milliseconds): Set<string> {
+  entriesReceivedSince(since: Milliseconds): Set<string> {
     const received = new Set<string>();
     for (const [entry, { receivedAt }] of this.#known) {
       if (receivedAt >= since) {
--- a/packages/serving/counter_report.ts
+++ b/packages/serving/counter_report.ts
@@ -27,7 +27,7 @@
    *
    * @param feed The replica's process, as its last reply named it.
    */
-  describe(feed: string, counters: EntryCounters): ReportedCounters {
+  build(feed: string, counters: EntryCounters): ReportedCounters {
     const known = feed === this.#feed ? this.#acknowledged : undefined;
     this.#sent = counters;
     const digest = sum(counters.spent);
@@ -35,8 +35,8 @@
       return { ...counters, isPartial: false, digest };
     }
     return {
-      spent: changed(counters.spent, known.spent),
-      readWork: changed(counters.readWork, known.readWork),
+      spent: changedTotals(counters.spent, known.spent),
+      readWork: changedTotals(counters.readWork, known.readWork),
       usage: changedUsage(counters.usage, known.usage),
       isPartial: true,
       digest,
@@ -44,16 +44,16 @@
   }
 
   /** Takes in that a replica answered the last report. */
-  noteReply(
+  handleReply(
     reply: Pick<SyncReply, "feed" | "takesPartial" | "needsWhole">,
   ): void {
-    const isTaken = reply.takesPartial === true && !reply.needsWhole;
+    const isAccepted = reply.takesPartial === true && !reply.needsWhole;
     this.#feed = reply.feed;
-    this.#acknowledged = isTaken ? this.#sent : undefined;
+    this.#acknowledged = isAccepted ? this.#sent : undefined;
   }
 
   /** Takes in that it isn't known whether the last report arrived. */
-  noteFailure(): void {
+  handleFailure(): void {
     this.#acknowledged = undefined;
   }
 }
@@ -66,7 +66,7 @@
   return total;
 }
 
-function changed(
+function changedTotals(
   totals: Readonly<Record<string, number>>,
   known: Readonly<Record<string, number>>,
 ): Record<string, number> {
@@ -85,9 +85,9 @@
 ): Record<string, WorkspaceCounts> {
   const changes: Record<string, WorkspaceCounts> = {};
   for (const [window, counts] of Object.entries(usage)) {
-    const ofWindow = changed(counts, known[window] ?? {});
-    if (Object.keys(ofWindow).length > 0) {
-      changes[window] = ofWindow;
+    const windowChanges = changedTotals(counts, known[window] ?? {});
+    if (Object.keys(windowChanges).length > 0) {
+      changes[window] = windowChanges;
     }
   }
   return changes;
--- a/packages/serving/chance_of_ends.ts
+++ b/packages/serving/crash_probability.ts
@@ -4,16 +4,20 @@
  *
  * @param expected Ends that it meets in the mean.
  */
-export function chanceOfEnds(ends: number, expected: number): number {
+export function crashProbability(crashes: number, expected: number): number {
   // From the tail's first term on, as one less the rest would lose all digits.
   let term = Math.exp(-expected);
-  for (let count = 1; count <= ends; count += 1) {
+  for (let count = 1; count <= crashes; count += 1) {
     term *= expected / count;
   }
-  let chance = term;
-  for (let count = ends + 1; term > chance * Number.EPSILON; count += 1) {
+  let probability = term;
+  for (
+    let count = crashes + 1;
+    term > probability * Number.EPSILON;
+    count += 1
+  ) {
     term *= expected / count;
-    chance += term;
+    probability += term;
   }
-  return chance;
+  return probability;
 }
--- a/packages/serving/leaving_start_test.ts
+++ b/packages/serving/departing_instance_test.ts
@@ -1,5 +1,5 @@
 import { Hub } from "./hub.ts";
-import { startId } from "./start_id.ts";
+import { instanceId } from "./instance_id.ts";
 import { UpstreamChoice } from "./upstream_choice.ts";
 import { UpstreamDirectory } from "./upstream_directory.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
@@ -16,7 +16,7 @@
 ): UpstreamRecord {
   const born = changes.born;
   return {
-    id: startId(NAME, born),
+    id: instanceId(NAME, born),
     name: NAME,
     born,
     service: "desk",
@@ -33,8 +33,8 @@
 
 /** One replica reads all of another one's feed. */
 function read(reader: Hub, from: Hub, now: number): void {
-  const reply = from.answerFeed({ feed: "", revision: 0 }, now);
-  reader.learnFeed(JSON.parse(JSON.stringify(reply)), now, {
+  const reply = from.createFeedReply({ feed: "", revision: 0 }, now);
+  reader.mergeFeed(JSON.parse(JSON.stringify(reply)), now, {
     reporter: from.feed,
   });
 }
@@ -42,7 +42,7 @@
 /** What an entry that starts takes over from a replica. */
 function startEntry(from: Hub, now: number): UpstreamDirectory {
   const directory = new UpstreamDirectory();
-  const reply = from.answerFeed({ feed: "", revision: 0 }, now);
+  const reply = from.createFeedReply({ feed: "", revision: 0 }, now);
   for (const record of reply.upstreams) {
     const age = reply.ages?.[record.id] ?? 0;
     directory.merge(record, now, { reporter: from.feed, age });
@@ -90,9 +90,9 @@
   heard.mergeUpstream(heartbeat(1), 0);
   read(reader, heard, 0);
   heard.mergeUpstream(heartbeat(2), 1000);
-  const reply = heard.answerFeed({ feed: "heard", revision: 1 }, 3000);
+  const reply = heard.createFeedReply({ feed: "heard", revision: 1 }, 3000);
   expect(reply.beats).toEqual({ [NAME]: 2 });
-  reader.learnFeed(reply, 3000, { reporter: "heard" });
+  reader.mergeFeed(reply, 3000, { reporter: "heard" });
   expect(reader.directory.get(NAME)?.receivedAt).toBe(1000);
 });
 
@@ -113,11 +113,11 @@
   hub.mergeUpstream(heartbeat(1, { born: 5000 }), 100);
   hub.mergeUpstream(heartbeat(2, { born: 5000, state: "draining" }), 200);
   const entry = startEntry(hub, 300);
-  const earlier = startId(NAME, 5000);
+  const earlier = instanceId(NAME, 5000);
   expect(entry.get(earlier)?.record.state).toBe("draining");
   hub.mergeUpstream(heartbeat(3, { born: 5000 }), 3000);
   hub.mergeUpstream(heartbeat(4, { born: 5000 }), 4000);
-  expect(hub.directory.isOver(earlier)).toBe(false);
+  expect(hub.directory.isReplaced(earlier)).toBe(false);
   expect(hub.directory.get(earlier)?.record.state).toBe("draining");
 });
 
@@ -132,11 +132,11 @@
   knowing.mergeUpstream(heartbeat(7, { born: 5000 }), 1000);
   const before = knowing.revision;
   read(knowing, fresh, 10_000);
-  const { upstreams } = knowing.answerFeed(
+  const { upstreams } = knowing.createFeedReply(
     { feed: "knowing", revision: before },
     10_000,
   );
   expect(upstreams).toMatchObject([
-    { id: startId(NAME, 5000), state: "gone" },
+    { id: instanceId(NAME, 5000), state: "gone" },
   ]);
 });
--- a/packages/serving/packed_document.ts
+++ b/packages/serving/document_codec.ts
@@ -8,8 +8,8 @@
  *
  * @public
  */
-export const packedDocument = {
-  pack(source: string): string {
+export const documentCodec = {
+  encode(source: string): string {
     return gzipSync(source).toString("base64");
   },
 
@@ -17,7 +17,7 @@
    * Also takes a source that isn't packed, as replicas of the release before
    * send it; entries are to be updated before replicas.
    */
-  unpack(reported: string): string {
+  decode(reported: string): string {
     return reported.startsWith("{")
       ? reported
       : gunzipSync(Buffer.from(reported, "base64")).toString("utf8");
--- a/packages/serving/document_sender.ts
+++ b/packages/serving/document_sender.ts
@@ -1,4 +1,4 @@
-import { packedDocument } from "./packed_document.ts";
+import { documentCodec } from "./document_codec.ts";
 import type { SyncRequest } from "./sync_request.ts";
 
 /** The confirmed document of a replica, as it came. */
@@ -15,7 +15,7 @@
  * @internal
  */
 export class DocumentSender {
-  #packed = { version: -1, text: "" };
+  #encoded = { version: -1, text: "" };
 
   documentFor(
     request: SyncRequest,
@@ -27,9 +27,9 @@
       return undefined;
     }
     const { version, source } = document;
-    if (this.#packed.version !== version) {
-      this.#packed = { version, text: packedDocument.pack(source) };
+    if (this.#encoded.version !== version) {
+      this.#encoded = { version, text: documentCodec.encode(source) };
     }
-    return this.#packed.text;
+    return this.#encoded.text;
   }
 }
--- a/packages/serving/list_kept.ts
+++ b/packages/serving/entry_list_lifetime.ts
@@ -8,4 +8,4 @@
  *
  * @public
  */
-export const LIST_KEPT: Milliseconds = 5000;
+export const ENTRY_LIST_LIFETIME: Milliseconds = 5000;
--- a/packages/serving/entry_medians.ts
+++ b/packages/serving/entry_medians.ts
@@ -6,12 +6,12 @@
  * move little in it, and computing them for each call takes a time that grows
  * with the square of the entries.
  */
-const KEPT: Milliseconds = 200;
+const MEDIAN_LIFETIME: Milliseconds = 200;
 /** Time for which a measured reading speed counts after its entry went. */
-const SPEED_KEPT: Milliseconds = 10_000;
+const SPEED_RETENTION: Milliseconds = 10_000;
 
 /** What an entry measured. */
-type Measured = {
+type EntryMeasurements = {
   readonly readingSpeeds: Readonly<Record<string, number>>;
   readonly receivedAt: Milliseconds;
   /** Wall clock of the entry less this process's clock. */
@@ -25,56 +25,59 @@
  * @internal
  */
 export class EntryMedians {
-  readonly #entries: ReadonlyMap<string, Measured>;
-  readonly #silentAfter: Milliseconds;
-  #wall = { madeAt: -Infinity, offset: undefined as Milliseconds | undefined };
-  #speeds = { madeAt: -Infinity, byService: {} as Record<string, number> };
+  readonly #entries: ReadonlyMap<string, EntryMeasurements>;
+  readonly #timeout: Milliseconds;
+  #wallClock = {
+    computedAt: -Infinity,
+    offset: undefined as Milliseconds | undefined,
+  };
+  #speeds = { computedAt: -Infinity, byService: {} as Record<string, number> };
 
   /**
    * @param entries What each entry measured last; followed as it changes.
-   * @param silentAfter Silence after which an entry's clock doesn't count.
+   * @param timeout Silence after which an entry's clock doesn't count.
    */
   constructor(
-    entries: ReadonlyMap<string, Measured>,
-    silentAfter: Milliseconds,
+    entries: ReadonlyMap<string, EntryMeasurements>,
+    timeout: Milliseconds,
   ) {
     this.#entries = entries;
-    this.#silentAfter = silentAfter;
+    this.#timeout = timeout;
   }
 
   /** Takes in that an entry has started. */
-  reset(): void {
-    this.#wall.madeAt = -Infinity;
-    this.#speeds.madeAt = -Infinity;
+  invalidate(): void {
+    this.#wallClock.computedAt = -Infinity;
+    this.#speeds.computedAt = -Infinity;
   }
 
   /** The median of the wall clocks, moved on to `now`. */
-  wall(now: Milliseconds): Milliseconds | undefined {
-    if (now - this.#wall.madeAt >= KEPT) {
+  wallTime(now: Milliseconds): Milliseconds | undefined {
+    if (now - this.#wallClock.computedAt >= MEDIAN_LIFETIME) {
       const offsets: Milliseconds[] = [];
       for (const { receivedAt, wallOffset } of this.#entries.values()) {
-        if (now - receivedAt < this.#silentAfter) {
+        if (now - receivedAt < this.#timeout) {
           offsets.push(wallOffset);
         }
       }
-      this.#wall = { madeAt: now, offset: median(offsets) };
+      this.#wallClock = { computedAt: now, offset: median(offsets) };
     }
-    const { offset } = this.#wall;
+    const { offset } = this.#wallClock;
     return offset === undefined ? undefined : now + offset;
   }
 
   /** The median of the reading speeds, by service. */
   readingSpeeds(now: Milliseconds): Record<string, number> {
-    if (now - this.#speeds.madeAt >= KEPT) {
-      this.#speeds = { madeAt: now, byService: this.#measureSpeeds(now) };
+    if (now - this.#speeds.computedAt >= MEDIAN_LIFETIME) {
+      this.#speeds = { computedAt: now, byService: this.#computeSpeeds(now) };
     }
     return this.#speeds.byService;
   }
 
-  #measureSpeeds(now: Milliseconds): Record<string, number> {
+  #computeSpeeds(now: Milliseconds): Record<string, number> {
     const measured = new Map<string, number[]>();
     for (const { readingSpeeds, receivedAt } of this.#entries.values()) {
-      if (now - receivedAt > SPEED_KEPT) {
+      if (now - receivedAt > SPEED_RETENTION) {
         continue;
       }
       for (const [service, speed] of Object.entries(readingSpeeds)) {
--- a/packages/serving/exchange_changes_test.ts
+++ b/packages/serving/exchange_changes_test.ts
@@ -64,7 +64,7 @@
       takesChanges: true,
       loadsSince: this.loadsSince,
       documentVersion: -1,
-      ...this.report.describe(this.feed, {
+      ...this.report.build(this.feed, {
         spent: { ...this.spent },
         readWork: {},
         usage: {},
@@ -75,7 +75,7 @@
   }
 
   learn(reply: SyncReply): void {
-    this.report.noteReply(reply);
+    this.report.handleReply(reply);
     this.feed = reply.feed;
     this.revision = reply.revision;
     this.loadsSince = reply.revision;
@@ -114,7 +114,7 @@
     this.now += STEP;
     const request = structuredClone(follower.describe());
     if (way === "request_lost") {
-      follower.report.noteFailure();
+      follower.report.handleFailure();
       return;
     }
     const reply = structuredClone(this.hub.sync(request, {
@@ -127,7 +127,7 @@
       this.#noteArrival(follower);
     }
     if (way === "reply_lost") {
-      follower.report.noteFailure();
+      follower.report.handleFailure();
       return;
     }
     follower.learn(reply);
@@ -320,12 +320,12 @@
   group.exchange(first, "whole");
   // The entry takes for acknowledged what never arrived.
   first.spent["inn"] = 9;
-  first.report.describe(first.feed, {
+  first.report.build(first.feed, {
     spent: { ...first.spent },
     readWork: {},
     usage: {},
   });
-  first.report.noteReply({ feed: first.feed, takesPartial: true });
+  first.report.handleReply({ feed: first.feed, takesPartial: true });
   group.exchange(first, "whole");
   expect(group.hub.divergences).toBe(1);
   group.exchange(first, "whole");
@@ -361,7 +361,7 @@
   expect(again.shared?.areLoadsPartial).toBeUndefined();
   const report = new CounterReport();
   const counters = { spent: { inn: 4 }, readWork: {}, usage: {} };
-  report.describe("f", counters);
-  report.noteReply({ feed: "f" });
-  expect(report.describe("f", counters).isPartial).toBe(false);
+  report.build("f", counters);
+  report.handleReply({ feed: "f" });
+  expect(report.build("f", counters).isPartial).toBe(false);
 });
--- a/packages/serving/hub.ts
+++ b/packages/serving/hub.ts
@@ -1,13 +1,13 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { ChargeBook } from "./charge_book.ts";
-import { CrashBook } from "./crash_book.ts";
-import { ChargeExchange } from "./charge_exchange.ts";
+import { ChargeTotals } from "./charge_totals.ts";
+import { SuspectRegistry } from "./suspect_registry.ts";
+import { ChargeAggregator } from "./charge_aggregator.ts";
 import { DocumentSender } from "./document_sender.ts";
 import { EntryMedians } from "./entry_medians.ts";
 import type { FeedReply } from "./feed_reply.ts";
 import type { FeedRequest } from "./feed_request.ts";
 import type { KnownEntry } from "./known_entry.ts";
-import { LoadBook } from "./load_book.ts";
+import { LoadTotals } from "./load_totals.ts";
 import { OpenEntries } from "./open_entries.ts";
 import { RevisionCounter } from "./revision_counter.ts";
 import type { ReportedSuspect } from "./reported_suspect.ts";
@@ -21,14 +21,14 @@
 import type { UpstreamLoad } from "./upstream_load.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
 import type { ProcessUsage } from "./process_usage.ts";
-import { UsageBook } from "./usage_book.ts";
+import { UsageTotals } from "./usage_totals.ts";
 import type { WorkspaceCounts } from "./workspace_counts.ts";
 
 /** Silence after which callers are no longer sent to an entry. */
-const ENTRY_SILENT_AFTER = 1200;
+const ENTRY_TIMEOUT_MS = 1200;
 
 /** Silence after which a closed or lost entry is taken to be gone. */
-const ENTRY_GONE_AFTER = 30_000;
+const ENTRY_RETENTION_MS = 30_000;
 
 /** Pause between two looks for entries that fell silent. */
 const SWEEP_INTERVAL: Milliseconds = 50;
@@ -65,19 +65,19 @@
   readonly feed: string;
   readonly #revisions = new RevisionCounter();
   /** Requests under which upstreams ended, as all entries saw it. */
-  readonly crashes: CrashBook = new CrashBook({
+  readonly crashes: SuspectRegistry = new SuspectRegistry({
     revisions: this.#revisions,
     countUpstreams: (service) => this.directory.countReady(service),
   });
   readonly #upstreams = new UpstreamFeed(this.#revisions);
   readonly #entries = new Map<string, ReportedEntry>();
-  readonly #medians = new EntryMedians(this.#entries, ENTRY_SILENT_AFTER);
-  readonly #open = new OpenEntries(this.#revisions);
-  readonly #charges = new ChargeExchange(this.#revisions);
-  readonly #loads = new LoadBook(this.#revisions);
-  readonly #readWork = new ChargeBook();
-  readonly #usage = new UsageBook();
-  readonly #documents = new DocumentSender();
+  readonly #medians = new EntryMedians(this.#entries, ENTRY_TIMEOUT_MS);
+  readonly #openEntries = new OpenEntries(this.#revisions);
+  readonly #charges = new ChargeAggregator(this.#revisions);
+  readonly #loads = new LoadTotals(this.#revisions);
+  readonly #prefillWork = new ChargeTotals();
+  readonly #usage = new UsageTotals();
+  readonly #documentSender = new DocumentSender();
   #sweptAt: Milliseconds = -Infinity;
   /** What is worked out over all entries, until the next sweep. */
   #shared = {
@@ -149,31 +149,34 @@
   /** Takes an entry's report in and answers it. */
   sync(request: SyncRequest, context: ReplyContext): SyncReply {
     const { now, document, isLeading, controls } = context;
-    const isTaken = this.#mergeReport(request, now);
+    const isAccepted = this.#mergeReport(request, now);
     this.#sweep(now);
-    const from = request.feed === this.feed ? request.revision : 0;
+    const sinceRevision = request.feed === this.feed ? request.revision : 0;
     const { name } = request.entry;
-    const { upstreams, beats, ages } = this.#upstreams.changesSince(from, now);
+    const { upstreams, beats, ages } = this.#upstreams.changesSince(
+      sinceRevision,
+      now,
+    );
     return {
       feed: this.feed,
       revision: this.#revisions.value,
       isLeading,
       upstreams,
       ages,
-      document: this.#documents.documentFor(request, document),
-      ...this.#entriesFor(request, from),
+      document: this.#documentSender.documentFor(request, document),
+      ...this.#entriesFor(request, sinceRevision),
       entryCount: this.#shared.entryCount,
       controls,
-      wall: this.estimateWall(now) ?? request.wall,
-      spentByOthers: this.#charges.sumWithout(
+      wall: this.estimateWallTime(now) ?? request.wall,
+      spentByOthers: this.#charges.sumExcluding(
         name,
-        request.takesChanges ? from : 0,
+        request.takesChanges ? sinceRevision : 0,
       ),
       unheard: this.#shared.unheard,
-      charges: this.#charges.relay(request.wantedCharges ?? [], now),
+      charges: this.#charges.recentReports(request.wantedCharges ?? [], now),
       takesPartial: true,
-      needsWhole: isTaken ? undefined : true,
-      suspects: this.#suspectsSince(from, now),
+      needsWhole: isAccepted ? undefined : true,
+      suspects: this.#suspectsSince(sinceRevision, now),
       shared: request.loads === undefined ? undefined : {
         beats,
         ...this.#loadsFor(request),
@@ -186,18 +189,21 @@
   /** The list of open entries, or what changed of it where that is enough. */
   #entriesFor(
     request: SyncRequest,
-    from: number,
+    sinceRevision: number,
   ): Pick<SyncReply, "entries" | "entryChanges"> {
     // An empty list counts, too: an earlier process may have sent another one.
-    if (from === 0) {
-      return { entries: this.#open.list() };
+    if (sinceRevision === 0) {
+      return { entries: this.#openEntries.list() };
     }
-    if (this.#open.revision <= from) {
+    if (this.#openEntries.revision <= sinceRevision) {
       return { entries: undefined };
     }
     return request.takesChanges
-      ? { entries: undefined, entryChanges: this.#open.changesSince(from) }
-      : { entries: this.#open.list() };
+      ? {
+        entries: undefined,
+        entryChanges: this.#openEntries.changesSince(sinceRevision),
+      }
+      : { entries: this.#openEntries.list() };
   }
 
   #suspectsSince(
@@ -215,25 +221,25 @@
     const since = request.feed === this.feed ? request.loadsSince ?? 0 : 0;
     return since > 0
       ? {
-        loadsOfOthers: this.#loads.changesWithout(name, since),
+        loadsOfOthers: this.#loads.changesExcluding(name, since),
         areLoadsPartial: true,
       }
-      : { loadsOfOthers: this.#loads.sumWithout(name) };
+      : { loadsOfOthers: this.#loads.sumExcluding(name) };
   }
 
   /** Answers another replica that has read a feed up to a revision. */
-  answerFeed(
+  createFeedReply(
     { feed, revision }: FeedRequest,
     now: Milliseconds,
   ): FeedReply {
-    const isKnown = feed === this.feed;
+    const isSameFeed = feed === this.feed;
     return {
       feed: this.feed,
       revision: this.revision,
-      ...this.#upstreams.changesSince(isKnown ? revision : 0, now),
-      suspects: this.#suspectsSince(isKnown ? revision : 0, now),
+      ...this.#upstreams.changesSince(isSameFeed ? revision : 0, now),
+      suspects: this.#suspectsSince(isSameFeed ? revision : 0, now),
       // What was kept is sent once to each process that reads this feed.
-      usage: isKnown ? {} : this.recentUsage(),
+      usage: isSameFeed ? {} : this.recentUsage(),
     };
   }
 
@@ -242,42 +248,42 @@
    *
    * @returns Upstreams that were not known to leave before.
    */
-  learnFeed(
+  mergeFeed(
     reply: FeedReply,
     now: Milliseconds,
     { reporter }: { reporter: string },
   ): UpstreamRecord[] {
     const ages = reply.ages ?? {};
-    const leaving: UpstreamRecord[] = [];
+    const departing: UpstreamRecord[] = [];
     for (const record of reply.upstreams) {
       const age = ages[record.id] ?? 0;
       const outcome = this.mergeUpstream(record, now, { reporter, age });
       if (outcome === "changed" && record.state !== "ready") {
-        leaving.push(record);
+        departing.push(record);
       }
     }
     for (const [id, sequence] of Object.entries(reply.beats)) {
       const age = ages[id] ?? 0;
       this.refreshUpstream(id, now, { sequence, reporter, age });
     }
-    this.learnUsage(reply.usage ?? {});
-    this.crashes.learn(reply.suspects ?? [], now);
-    return leaving;
+    this.mergeUsage(reply.usage ?? {});
+    this.crashes.merge(reply.suspects ?? [], now);
+    return departing;
   }
 
   /** Entries that callers may be sent to. */
   listOpenEntries(now: Milliseconds): readonly KnownEntry[] {
     this.#sweep(now);
-    return this.#open.list();
+    return this.#openEntries.list();
   }
 
   /** The median of the entries' wall clocks, moved on to `now`. */
-  estimateWall(now: Milliseconds): Milliseconds | undefined {
-    return this.#medians.wall(now);
+  estimateWallTime(now: Milliseconds): Milliseconds | undefined {
+    return this.#medians.wallTime(now);
   }
 
   /** What all entries counted for one usage window. */
-  usageOf(window: number): WorkspaceCounts {
+  usageInWindow(window: number): WorkspaceCounts {
     return this.#usage.sum(window);
   }
 
@@ -287,16 +293,16 @@
   }
 
   /** Takes in counts that were kept or that another replica passes on. */
-  learnUsage(usage: ProcessUsage): void {
-    this.#usage.learn(usage);
+  mergeUsage(usage: ProcessUsage): void {
+    this.#usage.merge(usage);
   }
 
   /**
    * Time in which the reference engine reads all prompts that entries sent, by
    * service, in ms.
    */
-  totalReadWork(): Record<string, Milliseconds> {
-    return this.#readWork.sumWithout("");
+  totalPrefillWork(): Record<string, Milliseconds> {
+    return this.#prefillWork.sumExcluding("");
   }
 
   /** What the middle one of the entries in reach measured, by service. */
@@ -307,20 +313,20 @@
   /** What all entries have under way, by upstream. */
   totalLoads(now: Milliseconds): Record<string, UpstreamLoad> {
     this.#sweep(now);
-    return this.#loads.sumWithout("");
+    return this.#loads.sumExcluding("");
   }
 
   /** Forgets what can't matter any more. */
   expire(now: Milliseconds): void {
     this.#upstreams.expire(now);
-    this.#usage.forget();
+    this.#usage.expire();
     this.crashes.expire(now);
-    this.#loads.forget((id) => this.directory.get(id) === undefined);
-    this.#charges.forget(now - ENTRY_GONE_AFTER);
+    this.#loads.removeIdle((id) => this.directory.get(id) === undefined);
+    this.#charges.removeStale(now - ENTRY_RETENTION_MS);
     for (const [name, entry] of this.#entries) {
-      if (now - entry.receivedAt > ENTRY_GONE_AFTER) {
-        this.#readWork.drop(name);
-        this.#open.forget(name);
+      if (now - entry.receivedAt > ENTRY_RETENTION_MS) {
+        this.#prefillWork.remove(name);
+        this.#openEntries.remove(name);
         this.#entries.delete(name);
       }
     }
@@ -336,13 +342,13 @@
     const { entry, isPartial } = request;
     const { name, boot, address, zone, region, isOpen } = entry;
     const { spent, readWork, digest } = request;
-    const isNew = this.#entries.get(name)?.boot !== boot;
-    const hasCharges = this.#charges.receive(
+    const isNewProcess = this.#entries.get(name)?.boot !== boot;
+    const areChargesAccepted = this.#charges.applyReport(
       name,
       { boot, spent, isPartial, digest },
       now,
     );
-    const hasWork = this.#readWork.receive(
+    const isPrefillWorkAccepted = this.#prefillWork.applyReport(
       name,
       { boot, spent: readWork, isPartial },
       now,
@@ -350,7 +356,7 @@
     for (
       const [other, charges] of Object.entries(request.relayedCharges ?? {})
     ) {
-      this.#charges.learn(other, charges, now);
+      this.#charges.applyRelayedReport(other, charges, now);
     }
     this.#entries.set(name, {
       boot,
@@ -358,19 +364,19 @@
       receivedAt: now,
       wallOffset: request.wall - now,
     });
-    if (isNew) {
-      this.#medians.reset();
+    if (isNewProcess) {
+      this.#medians.invalidate();
       this.#sweptAt = -Infinity;
     }
-    this.#open.note({ name, address, zone, region }, isOpen);
+    this.#openEntries.update({ name, address, zone, region }, isOpen);
     if (request.loads !== undefined) {
-      this.#loads.note(name, request.loads);
+      this.#loads.update(name, request.loads);
     }
-    this.#usage.learn({ [boot]: request.usage });
-    this.crashes.learn(request.suspects ?? [], now);
-    const isTaken = hasCharges && hasWork;
-    this.#divergences += isTaken ? 0 : 1;
-    return isTaken;
+    this.#usage.merge({ [boot]: request.usage });
+    this.crashes.merge(request.suspects ?? [], now);
+    const isAccepted = areChargesAccepted && isPrefillWorkAccepted;
+    this.#divergences += isAccepted ? 0 : 1;
+    return isAccepted;
   }
 
   /** Closes entries that are silent, and sums up who is in reach. */
@@ -381,17 +387,17 @@
     this.#sweptAt = now;
     let entryCount = 0;
     for (const [name, { receivedAt }] of this.#entries) {
-      if (now - receivedAt >= ENTRY_SILENT_AFTER) {
-        this.#open.close(name);
-        this.#loads.drop(name);
+      if (now - receivedAt >= ENTRY_TIMEOUT_MS) {
+        this.#openEntries.close(name);
+        this.#loads.remove(name);
       } else {
         entryCount += 1;
       }
     }
     this.#shared = {
       entryCount,
-      quotaShare: this.#charges.share(now),
-      unheard: this.#charges.unheard(now),
+      quotaShare: this.#charges.quotaShare(now),
+      unheard: this.#charges.listUnresponsive(now),
     };
   }
 }
--- a/packages/serving/hub_test.ts
+++ b/packages/serving/hub_test.ts
@@ -1,4 +1,4 @@
-import { Hub, packedDocument, type SyncRequest } from "./mod.ts";
+import { documentCodec, Hub, type SyncRequest } from "./mod.ts";
 
 const context = { document: undefined, controls: [], isLeading: true };
 const request = (
@@ -111,7 +111,7 @@
     ) {
       hub.sync(request(name, { wall }), { ...context, now: 0 });
     }
-    expect(hub.estimateWall(100)).toBe(5110);
+    expect(hub.estimateWallTime(100)).toBe(5110);
   });
 
   test("reports heartbeats without change by number, and only in whole exchanges", () => {
@@ -191,7 +191,7 @@
       now: 0,
     }).document!;
     expect(reported.length).toBeLessThan(source.length / 20 + 500);
-    expect(packedDocument.unpack(reported)).toBe(source);
+    expect(documentCodec.decode(reported)).toBe(source);
     const upToDate = hub.sync(request("a", { documentVersion: 4 }), {
       ...context,
       document: { version: 4, source },
@@ -203,7 +203,7 @@
   test("is packed anew for another version", () => {
     const hub = new Hub("f");
     const report = (version: number, text: string) =>
-      packedDocument.unpack(
+      documentCodec.decode(
         hub.sync(request("a"), {
           ...context,
           document: { version, source: text },
@@ -216,6 +216,6 @@
   });
 
   test("is taken as it is from a replica that doesn't pack", () => {
-    expect(packedDocument.unpack('{"version":1}')).toBe('{"version":1}');
+    expect(documentCodec.decode('{"version":1}')).toBe('{"version":1}');
   });
 });
--- a/packages/serving/known_end.ts
+++ b/packages/serving/instance_crash.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@heroncleat/base";
 
 /** That a start of an upstream ended, whatever ran there. @internal */
-export type KnownEnd = {
+export type InstanceCrash = {
   readonly service: string;
   readonly at: Milliseconds;
 };
--- a/packages/serving/start_id.ts
+++ b/packages/serving/instance_id.ts
@@ -9,6 +9,9 @@
  * @public
  * @param born When it started, in ms since 1970.
  */
-export function startId(name: string, born: Milliseconds | undefined): string {
+export function instanceId(
+  name: string,
+  born: Milliseconds | undefined,
+): string {
   return born === undefined ? name : `${name}@${born}`;
 }
--- a/packages/serving/isolated_quota.ts
+++ b/packages/serving/isolated_quota.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { ChargeBook } from "./charge_book.ts";
+import { ChargeTotals } from "./charge_totals.ts";
 
 /** Silence after which another entry counts as out of reach. */
 const SILENT_AFTER: Milliseconds = 1000;
@@ -22,7 +22,7 @@
  * @public
  */
 export class IsolatedQuota {
-  readonly #book = new ChargeBook();
+  readonly #book = new ChargeTotals();
   /** Entries that said they take no callers. */
   readonly #closed = new Set<string>();
 
@@ -37,7 +37,7 @@
     now: Milliseconds,
   ): void {
     const { entry, boot, spent, isOpen } = charges;
-    this.#book.receive(entry, { boot, spent }, now);
+    this.#book.applyReport(entry, { boot, spent }, now);
     if (isOpen) {
       this.#closed.delete(entry);
     } else {
@@ -48,14 +48,15 @@
   /** Whether an entry is in reach and takes callers. */
   isOpen(entry: string, now: Milliseconds): boolean {
     return !this.#closed.has(entry) &&
-      this.#book.receivedSince(now - SILENT_AFTER).has(entry);
+      this.#book.entriesReceivedSince(now - SILENT_AFTER).has(entry);
   }
 
   /** @param known Entries at the last reply of a control replica. */
   learnt(known: number, now: Milliseconds): LearntCharges {
-    const entries = this.#book.receivedSince(now - SILENT_AFTER).size + 1;
+    const entries = this.#book.entriesReceivedSince(now - SILENT_AFTER).size +
+      1;
     return {
-      spent: this.#book.sumWithout(""),
+      spent: this.#book.sumExcluding(""),
       share: Math.min(1, entries / Math.max(1, known)),
       entries,
       now,
--- a/packages/serving/load_book.ts
+++ b/packages/serving/load_totals.ts
@@ -4,9 +4,9 @@
 type Loads = Readonly<Record<string, UpstreamLoad>>;
 
 /** What all entries have under way at an upstream, and when it changed. */
-type Total = { requests: number; backlog: number; revision: number };
+type UpstreamTotal = { requests: number; backlog: number; revision: number };
 
-const NOTHING: UpstreamLoad = { requests: 0, backlog: 0 };
+const NO_LOAD: UpstreamLoad = { requests: 0, backlog: 0 };
 
 /**
  * Adds up what entries have under way at each upstream. Sums are kept as they
@@ -14,37 +14,37 @@
  *
  * @internal
  */
-export class LoadBook {
+export class LoadTotals {
   readonly #revisions: RevisionCounter;
   readonly #entries = new Map<string, Loads>();
-  readonly #totals = new Map<string, Total>();
+  readonly #totals = new Map<string, UpstreamTotal>();
 
   constructor(revisions: RevisionCounter) {
     this.#revisions = revisions;
   }
 
   /** Takes in all that an entry has under way. */
-  note(entry: string, loads: Loads): void {
-    const before = this.#entries.get(entry) ?? {};
+  update(entry: string, loads: Loads): void {
+    const previous = this.#entries.get(entry) ?? {};
     this.#entries.set(entry, loads);
     for (const [id, load] of Object.entries(loads)) {
-      this.#add(id, load, before[id] ?? NOTHING);
+      this.#add(id, load, previous[id] ?? NO_LOAD);
     }
-    for (const [id, load] of Object.entries(before)) {
+    for (const [id, load] of Object.entries(previous)) {
       if (loads[id] === undefined) {
-        this.#add(id, NOTHING, load);
+        this.#add(id, NO_LOAD, load);
       }
     }
   }
 
   /** Takes an entry's loads out, as it is silent. */
-  drop(entry: string): void {
-    this.note(entry, {});
+  remove(entry: string): void {
+    this.update(entry, {});
     this.#entries.delete(entry);
   }
 
   /** Forgets upstreams that are gone and have nothing under way. */
-  forget(isGone: (upstream: string) => boolean): void {
+  removeIdle(isGone: (upstream: string) => boolean): void {
     for (const [id, { requests, backlog }] of this.#totals) {
       if (requests === 0 && backlog === 0 && isGone(id)) {
         this.#totals.delete(id);
@@ -53,30 +53,30 @@
   }
 
   /** What all entries but one have under way, by upstream. */
-  sumWithout(entry: string): Record<string, UpstreamLoad> {
-    return this.#list(
+  sumExcluding(entry: string): Record<string, UpstreamLoad> {
+    return this.#collect(
       entry,
       ({ requests, backlog }) => requests !== 0 || backlog !== 0,
     );
   }
 
   /** The same, of upstreams whose sum changed behind a revision. */
-  changesWithout(
+  changesExcluding(
     entry: string,
     since: number,
   ): Record<string, UpstreamLoad> {
-    return this.#list(entry, ({ revision }) => revision > since);
+    return this.#collect(entry, ({ revision }) => revision > since);
   }
 
-  #list(
+  #collect(
     entry: string,
-    isListed: (total: Total) => boolean,
+    isIncluded: (total: UpstreamTotal) => boolean,
   ): Record<string, UpstreamLoad> {
     const own = this.#entries.get(entry) ?? {};
     const loads: Record<string, UpstreamLoad> = {};
     for (const [id, total] of this.#totals) {
-      if (isListed(total)) {
-        const { requests, backlog } = own[id] ?? NOTHING;
+      if (isIncluded(total)) {
+        const { requests, backlog } = own[id] ?? NO_LOAD;
         loads[id] = {
           requests: total.requests - requests,
           backlog: total.backlog - backlog,
@@ -86,9 +86,9 @@
     return loads;
   }
 
-  #add(id: string, load: UpstreamLoad, before: UpstreamLoad): void {
-    const requests = load.requests - before.requests;
-    const backlog = load.backlog - before.backlog;
+  #add(id: string, load: UpstreamLoad, previous: UpstreamLoad): void {
+    const requests = load.requests - previous.requests;
+    const backlog = load.backlog - previous.backlog;
     if (requests === 0 && backlog === 0) {
       return;
     }
--- a/packages/serving/open_entries.ts
+++ b/packages/serving/open_entries.ts
@@ -4,7 +4,7 @@
 import type { RevisionCounter } from "./revision_counter.ts";
 
 /** An entry as it last reported. */
-type ReportingEntry = {
+type EntryState = {
   readonly entry: KnownEntry;
   readonly isOpen: boolean;
 };
@@ -18,7 +18,7 @@
  */
 export class OpenEntries {
   readonly #revisions: RevisionCounter;
-  readonly #known = new Map<string, ReportingEntry>();
+  readonly #known = new Map<string, EntryState>();
   readonly #changes = new ChangeLog();
   #list: readonly KnownEntry[] | undefined;
   #revision = 0;
@@ -33,13 +33,13 @@
   }
 
   /** Takes in that an entry reported. */
-  note(entry: KnownEntry, isOpen: boolean): void {
+  update(entry: KnownEntry, isOpen: boolean): void {
     const known = this.#known.get(entry.name);
     const isListed = known?.isOpen === true;
     const hasMoved = isListed && known.entry.address !== entry.address;
     this.#known.set(entry.name, { entry, isOpen });
     if (isOpen !== isListed || hasMoved) {
-      this.#noteChange(entry.name);
+      this.#recordChange(entry.name);
     }
   }
 
@@ -58,7 +58,7 @@
     }
     const opened: KnownEntry[] = [];
     const closed: string[] = [];
-    for (const name of this.#changes.since(revision)) {
+    for (const name of this.#changes.idsSince(revision)) {
       const known = this.#known.get(name);
       if (known?.isOpen) {
         opened.push(known.entry);
@@ -74,7 +74,7 @@
     const known = this.#known.get(name);
     if (known?.isOpen) {
       this.#known.set(name, { ...known, isOpen: false });
-      this.#noteChange(name);
+      this.#recordChange(name);
     }
   }
 
@@ -82,14 +82,14 @@
    * Forgets an entry that is closed. That it closed is kept, for followers that
    * were cut off meanwhile.
    */
-  forget(name: string): void {
+  remove(name: string): void {
     this.close(name);
     this.#known.delete(name);
   }
 
-  #noteChange(name: string): void {
+  #recordChange(name: string): void {
     this.#revision = this.#revisions.next();
-    this.#changes.note(name, this.#revision);
+    this.#changes.record(name, this.#revision);
     this.#list = undefined;
   }
 }
--- a/packages/serving/others_charges.ts
+++ b/packages/serving/peer_charges.ts
@@ -1,5 +1,5 @@
 /** What one source has reported, less what was known when it first did. */
-type Source = Map<string, number>;
+type Baseline = Map<string, number>;
 
 /**
  * What all other entries charged, from sources that count from different starts
@@ -9,9 +9,9 @@
  *
  * @internal
  */
-export class OthersCharges {
+export class PeerCharges {
   readonly #isFresh: boolean;
-  readonly #sources = new Map<string, Source>();
+  readonly #baselines = new Map<string, Baseline>();
   readonly #totals = new Map<string, number>();
 
   /** @param isFresh Whether nobody charged anything before the first source. */
@@ -25,39 +25,42 @@
   }
 
   /** Takes in totals by bucket and gives what they add to what was known. */
-  learn(
+  merge(
     source: string,
     spent: Readonly<Record<string, number>>,
   ): Map<string, number> {
-    const known = this.#sources.get(source) ?? this.#begin(source, spent);
+    const known = this.#baselines.get(source) ?? this.#addSource(source, spent);
     const added = new Map<string, number>();
     for (const [bucket, total] of Object.entries(spent)) {
       const before = this.#totals.get(bucket) ?? 0;
       // A bucket that nobody had named when the source began starts at nothing.
-      const start = known.get(bucket) ?? 0;
-      const more = total - start - before;
-      if (more > 0) {
-        this.#totals.set(bucket, before + more);
-        added.set(bucket, more);
+      const baseline = known.get(bucket) ?? 0;
+      const increase = total - baseline - before;
+      if (increase > 0) {
+        this.#totals.set(bucket, before + increase);
+        added.set(bucket, increase);
       }
     }
     return added;
   }
 
   /** Notes where a source's counts start, against what is known by then. */
-  #begin(source: string, spent: Readonly<Record<string, number>>): Source {
-    const isFirst = this.#sources.size === 0 && this.#totals.size === 0;
-    const starts: Source = new Map();
-    this.#sources.set(source, starts);
-    if (this.#isFresh && isFirst) {
-      return starts;
+  #addSource(
+    source: string,
+    spent: Readonly<Record<string, number>>,
+  ): Baseline {
+    const isFirstSource = this.#baselines.size === 0 && this.#totals.size === 0;
+    const baseline: Baseline = new Map();
+    this.#baselines.set(source, baseline);
+    if (this.#isFresh && isFirstSource) {
+      return baseline;
     }
     for (const [bucket, total] of Object.entries(spent)) {
-      starts.set(bucket, total);
+      baseline.set(bucket, total);
     }
     for (const [bucket, before] of this.#totals) {
-      starts.set(bucket, (starts.get(bucket) ?? 0) - before);
+      baseline.set(bucket, (baseline.get(bucket) ?? 0) - before);
     }
-    return starts;
+    return baseline;
   }
 }
--- a/packages/serving/simulated_crashes.ts
+++ b/packages/serving/simulated_crashes.ts
@@ -1,6 +1,6 @@
 import { createSeededRandom, type Milliseconds } from "@heroncleat/base";
-import { CrashBook } from "./crash_book.ts";
-import { CrashStanding } from "./crash_standing.ts";
+import { SuspectRegistry } from "./suspect_registry.ts";
+import { SuspectStatus } from "./suspect_status.ts";
 import { RevisionCounter } from "./revision_counter.ts";
 
 const ZONES = 4;
@@ -8,27 +8,27 @@
 const ENTRIES = 8;
 const REPLICAS = 4;
 /** Pauses between exchanges of an entry with the primary, and with others. */
-const WHOLE_PAUSE: Milliseconds = 150;
-const SHORT_PAUSE: Milliseconds = 400;
+const FULL_EXCHANGE_INTERVAL: Milliseconds = 150;
+const SHORT_EXCHANGE_INTERVAL: Milliseconds = 400;
 /** Longest way of a message, and longest time until an end is noticed. */
-const MOST_DELAY: Milliseconds = 25;
-const MOST_UNNOTICED: Milliseconds = 60;
+const MAX_MESSAGE_DELAY: Milliseconds = 25;
+const MAX_DETECTION_DELAY: Milliseconds = 60;
 const UPSTREAM_DOWNTIME: Milliseconds = 4000;
 const PROCESS_DOWNTIME: Milliseconds = 1000;
 /** Time in which all entries must know of the third end. */
-const TOLD_WITHIN: Milliseconds = 3000;
-const CRASHES_BORNE = 3;
+const MAX_PROPAGATION_TIME: Milliseconds = 3000;
+const REJECTION_CRASHES = 3;
 
-/** A request that is asked again and again by its caller or callers. */
+/** A request that is asked resubmit and resubmit by its caller or callers. */
 type RepeatedRequest = {
   readonly name: string;
   /** Callers that ask it at once. */
   readonly callers: number;
   /** Longest time that its answer takes. */
-  readonly lasts: Milliseconds;
+  readonly maxDuration: Milliseconds;
   /** Longest pause of a caller between two of them. */
-  readonly pause: Milliseconds;
-  readonly endsUpstreams: boolean;
+  readonly maxPause: Milliseconds;
+  readonly crashesUpstreams: boolean;
 };
 
 /** What is played. */
@@ -49,9 +49,9 @@
   /** Harmless requests that were rejected. */
   readonly wronglyRejected: number;
   /** Sends later than 3 s after the third end under a request, the most. */
-  readonly late: number;
+  readonly lateSends: number;
   /** Ends of upstreams under one request, the most. */
-  readonly ends: number;
+  readonly crashes: number;
   readonly waves: number;
 };
 
@@ -59,7 +59,7 @@
   readonly request: RepeatedRequest;
   readonly entry: Entry;
   readonly sentAt: Milliseconds;
-  isOver: boolean;
+  isFinished: boolean;
 };
 
 type Upstream = {
@@ -69,16 +69,20 @@
   runs: Set<Run>;
 };
 
-type Replica = { book: CrashBook; feed: number; isUp: boolean };
+type Replica = { registry: SuspectRegistry; feed: number; isUp: boolean };
 
 type Entry = {
-  book: CrashBook;
+  registry: SuspectRegistry;
   isRunning: boolean;
   /** Whether it takes callers. */
   isUp: boolean;
   underWay: Map<string, number>;
   /** What each replica was told and has told, by the replica's number. */
-  readonly links: { feed: number; told: number; read: number }[];
+  readonly links: {
+    feed: number;
+    sentRevision: number;
+    readRevision: number;
+  }[];
 };
 
 /**
@@ -90,12 +94,12 @@
   readonly #random: () => number;
   readonly #events: { at: Milliseconds; run: () => void }[] = [];
   #now: Milliseconds = 0;
-  #starts = 0;
-  #feeds = 0;
+  #instanceCount = 0;
+  #feedCount = 0;
   readonly #upstreams: Upstream[] = [];
   readonly #replicas: Replica[] = [];
   readonly #entries: Entry[] = [];
-  readonly #endedAt = new Map<string, Milliseconds[]>();
+  readonly #crashTimes = new Map<string, Milliseconds[]>();
   readonly #late = new Map<string, number>();
   #wronglyRejected = 0;
   #waves = 0;
@@ -103,9 +107,9 @@
   constructor(scenario: CrashScenario) {
     this.#scenario = scenario;
     this.#random = createSeededRandom(scenario.seed * 7919 + 1);
-    for (let at = 0; at < UPSTREAMS; at += 1) {
+    for (let index = 0; index < UPSTREAMS; index += 1) {
       const upstream = {
-        zone: at % ZONES,
+        zone: index % ZONES,
         id: "",
         isUp: true,
         runs: new Set<Run>(),
@@ -113,20 +117,24 @@
       this.#startUpstream(upstream);
       this.#upstreams.push(upstream);
     }
-    for (let at = 0; at < REPLICAS; at += 1) {
+    for (let index = 0; index < REPLICAS; index += 1) {
       this.#replicas.push({
-        book: createBook(),
-        feed: this.#nextFeed,
+        registry: createRegistry(),
+        feed: this.#nextFeedId,
         isUp: true,
       });
     }
-    for (let at = 0; at < ENTRIES; at += 1) {
+    for (let index = 0; index < ENTRIES; index += 1) {
       this.#entries.push({
-        book: createBook(),
+        registry: createRegistry(),
         isRunning: true,
         isUp: true,
         underWay: new Map(),
-        links: this.#replicas.map(() => ({ feed: 0, told: 0, read: 0 })),
+        links: this.#replicas.map(() => ({
+          feed: 0,
+          sentRevision: 0,
+          readRevision: 0,
+        })),
       });
     }
   }
@@ -134,38 +142,41 @@
   run(): CrashOutcome {
     const { requests, waveShare, losesProcesses, duration } = this.#scenario;
     for (const entry of this.#entries) {
-      for (let at = 0; at < REPLICAS; at += 1) {
-        this.#repeat(
-          at === 0 ? WHOLE_PAUSE : SHORT_PAUSE,
-          () => this.#exchange(entry, at),
+      for (let index = 0; index < REPLICAS; index += 1) {
+        this.#scheduleRepeatedly(
+          index === 0 ? FULL_EXCHANGE_INTERVAL : SHORT_EXCHANGE_INTERVAL,
+          () => this.#exchange(entry, index),
         );
       }
     }
     for (const request of requests) {
       for (let caller = 0; caller < request.callers; caller += 1) {
-        this.#after(this.#draw(request.pause), () => this.#ask(request));
+        this.#schedule(
+          this.#randomUpTo(request.maxPause),
+          () => this.#submit(request),
+        );
       }
     }
     if (waveShare > 0) {
-      this.#repeat(2500, () => this.#strikeZone());
+      this.#scheduleRepeatedly(2500, () => this.#reclaimZone());
     }
     if (losesProcesses) {
-      this.#repeat(3000, () => this.#killEntry());
-      this.#repeat(4000, () => this.#killReplica());
+      this.#scheduleRepeatedly(3000, () => this.#killEntry());
+      this.#scheduleRepeatedly(4000, () => this.#killReplica());
     }
-    this.#play(duration);
+    this.#runUntil(duration);
     return {
       wronglyRejected: this.#wronglyRejected,
-      late: Math.max(0, ...this.#late.values()),
-      ends: Math.max(
+      lateSends: Math.max(0, ...this.#late.values()),
+      crashes: Math.max(
         0,
-        ...[...this.#endedAt.values()].map(({ length }) => length),
+        ...[...this.#crashTimes.values()].map(({ length }) => length),
       ),
       waves: this.#waves,
     };
   }
 
-  #play(until: Milliseconds): void {
+  #runUntil(until: Milliseconds): void {
     while (this.#events.length > 0) {
       const event = this.#events.pop()!;
       if (event.at > until) {
@@ -177,7 +188,7 @@
   }
 
   /** Events are kept latest first. */
-  #after(delay: Milliseconds, run: () => void): void {
+  #schedule(delay: Milliseconds, run: () => void): void {
     const at = this.#now + delay;
     let from = 0;
     let to = this.#events.length;
@@ -192,130 +203,143 @@
     this.#events.splice(from, 0, { at, run });
   }
 
-  #repeat(pause: Milliseconds, run: () => void): void {
-    this.#after(pause * (0.5 + this.#random()), () => {
+  #scheduleRepeatedly(pause: Milliseconds, run: () => void): void {
+    this.#schedule(pause * (0.5 + this.#random()), () => {
       run();
-      this.#repeat(pause, run);
+      this.#scheduleRepeatedly(pause, run);
     });
   }
 
-  #draw(most: Milliseconds): Milliseconds {
-    return this.#random() * most;
+  #randomUpTo(max: Milliseconds): Milliseconds {
+    return this.#random() * max;
   }
 
-  #pick<Item>(items: readonly Item[]): Item | undefined {
+  #pickRandom<Item>(items: readonly Item[]): Item | undefined {
     return items[Math.floor(this.#random() * items.length)];
   }
 
-  get #nextFeed(): number {
-    this.#feeds += 1;
-    return this.#feeds;
+  get #nextFeedId(): number {
+    this.#feedCount += 1;
+    return this.#feedCount;
   }
 
-  /** A caller sends its request, and again once it is over. */
-  #ask(request: RepeatedRequest): void {
-    const again = () =>
-      this.#after(1 + this.#draw(request.pause), () => this.#ask(request));
-    const entry = this.#pick(this.#entries.filter(({ isUp }) => isUp));
+  /** A caller sends its request, and resubmit once it is over. */
+  #submit(request: RepeatedRequest): void {
+    const resubmit = () =>
+      this.#schedule(
+        1 + this.#randomUpTo(request.maxPause),
+        () => this.#submit(request),
+      );
+    const entry = this.#pickRandom(this.#entries.filter(({ isUp }) => isUp));
     if (entry === undefined) {
-      again();
+      resubmit();
       return;
     }
-    const standing = entry.book.standing(request.name, this.#now);
-    const upstream = this.#choose(standing);
-    const isHeld = standing === CrashStanding.single &&
+    const standing = entry.registry.statusOf(request.name, this.#now);
+    const upstream = this.#chooseUpstream(standing);
+    const isHeld = standing === SuspectStatus.single &&
       entry.underWay.has(request.name);
-    if (standing === CrashStanding.rejected) {
-      this.#wronglyRejected += request.endsUpstreams ? 0 : 1;
+    if (standing === SuspectStatus.rejected) {
+      this.#wronglyRejected += request.crashesUpstreams ? 0 : 1;
     }
-    const isRejected = standing === CrashStanding.rejected;
+    const isRejected = standing === SuspectStatus.rejected;
     if (isRejected || isHeld || upstream === undefined) {
-      again();
+      resubmit();
       return;
     }
-    this.#send(request, { entry, upstream, again });
+    this.#startRun(request, { entry, upstream, resubmit });
   }
 
   /** A suspected request goes where least else runs. */
-  #choose(standing: CrashStanding): Upstream | undefined {
+  #chooseUpstream(standing: SuspectStatus): Upstream | undefined {
     const up = this.#upstreams.filter(({ isUp }) => isUp);
-    if (standing === CrashStanding.unsuspected) {
-      return this.#pick(up);
+    if (standing === SuspectStatus.unsuspected) {
+      return this.#pickRandom(up);
     }
     const least = Math.min(...up.map(({ runs }) => runs.size));
-    return this.#pick(up.filter(({ runs }) => runs.size === least));
+    return this.#pickRandom(up.filter(({ runs }) => runs.size === least));
   }
 
-  #send(
+  #startRun(
     request: RepeatedRequest,
-    { entry, upstream, again }: {
+    { entry, upstream, resubmit }: {
       entry: Entry;
       upstream: Upstream;
-      again: () => void;
+      resubmit: () => void;
     },
   ): void {
-    const run: Run = { request, entry, sentAt: this.#now, isOver: false };
-    this.#noteSend(request);
+    const run: Run = { request, entry, sentAt: this.#now, isFinished: false };
+    this.#recordSend(request);
     upstream.runs.add(run);
     const { name } = request;
     entry.underWay.set(name, (entry.underWay.get(name) ?? 0) + 1);
     const { id } = upstream;
-    const isEnding = request.endsUpstreams;
-    this.#after(
-      isEnding ? 20 + this.#draw(80) : this.#draw(request.lasts),
+    const isCrashing = request.crashesUpstreams;
+    this.#schedule(
+      isCrashing
+        ? 20 + this.#randomUpTo(80)
+        : this.#randomUpTo(request.maxDuration),
       () => {
-        if (!run.isOver && isEnding && upstream.id === id && upstream.isUp) {
-          this.#endUpstream(upstream);
-          const ends = this.#endedAt.get(name) ?? [];
-          this.#endedAt.set(name, [...ends, this.#now]);
-        } else if (!run.isOver) {
+        if (
+          !run.isFinished && isCrashing && upstream.id === id && upstream.isUp
+        ) {
+          this.#crashUpstream(upstream);
+          const crashes = this.#crashTimes.get(name) ?? [];
+          this.#crashTimes.set(name, [...crashes, this.#now]);
+        } else if (!run.isFinished) {
           upstream.runs.delete(run);
-          this.#endRun(run);
-          if (entry.isUp && entry.book.noteAnswer(name, this.#now)) {
+          this.#finishRun(run);
+          if (entry.isUp && entry.registry.recordCompletion(name, this.#now)) {
             this.#reportToAll(entry);
           }
         }
-        again();
+        resubmit();
       },
     );
   }
 
-  #noteSend({ name }: RepeatedRequest): void {
-    const third = this.#endedAt.get(name)?.[CRASHES_BORNE - 1];
-    if (third !== undefined && this.#now > third + TOLD_WITHIN) {
+  #recordSend({ name }: RepeatedRequest): void {
+    const thirdCrashAt = this.#crashTimes.get(name)?.[REJECTION_CRASHES - 1];
+    if (
+      thirdCrashAt !== undefined &&
+      this.#now > thirdCrashAt + MAX_PROPAGATION_TIME
+    ) {
       this.#late.set(name, (this.#late.get(name) ?? 0) + 1);
     }
   }
 
-  #endRun(run: Run): void {
-    run.isOver = true;
+  #finishRun(run: Run): void {
+    run.isFinished = true;
     const { underWay } = run.entry;
-    const left = (underWay.get(run.request.name) ?? 1) - 1;
-    if (left > 0) {
-      underWay.set(run.request.name, left);
+    const remaining = (underWay.get(run.request.name) ?? 1) - 1;
+    if (remaining > 0) {
+      underWay.set(run.request.name, remaining);
     } else {
       underWay.delete(run.request.name);
     }
   }
 
   #startUpstream(upstream: Upstream): void {
-    this.#starts += 1;
-    upstream.id = `u${this.#starts}`;
+    this.#instanceCount += 1;
+    upstream.id = `u${this.#instanceCount}`;
     upstream.isUp = true;
   }
 
-  #endUpstream(upstream: Upstream): void {
+  #crashUpstream(upstream: Upstream): void {
     const { id, runs } = upstream;
     upstream.isUp = false;
     upstream.runs = new Set();
     for (const run of runs) {
-      this.#endRun(run);
-      this.#after(this.#draw(MOST_UNNOTICED), () => this.#noteEnd(run, id));
+      this.#finishRun(run);
+      this.#schedule(
+        this.#randomUpTo(MAX_DETECTION_DELAY),
+        () => this.#recordCrash(run, id),
+      );
     }
-    this.#after(UPSTREAM_DOWNTIME, () => this.#startUpstream(upstream));
+    this.#schedule(UPSTREAM_DOWNTIME, () => this.#startUpstream(upstream));
   }
 
-  #noteEnd({ request, entry, sentAt }: Run, upstream: string): void {
+  #recordCrash({ request, entry, sentAt }: Run, upstream: string): void {
     const key = {
       request: request.name,
       workspace: request.name,
@@ -323,61 +347,61 @@
       size: 0,
     };
     const run = { upstream, sentAt, endedAt: this.#now };
-    if (entry.isUp && entry.book.noteCrash(key, run)) {
+    if (entry.isUp && entry.registry.recordCrash(key, run)) {
       this.#reportToAll(entry);
     }
   }
 
   #reportToAll(entry: Entry): void {
-    for (let at = 0; at < REPLICAS; at += 1) {
-      this.#exchange(entry, at);
+    for (let index = 0; index < REPLICAS; index += 1) {
+      this.#exchange(entry, index);
     }
   }
 
-  #exchange(entry: Entry, at: number): void {
+  #exchange(entry: Entry, index: number): void {
     if (!entry.isRunning) {
       return;
     }
-    const replica = this.#replicas[at]!;
-    const link = entry.links[at]!;
-    const { book } = entry;
-    const told = book.revision;
-    const reported = book.changesSince(link.told, this.#now);
-    const asked = { feed: link.feed, read: link.read };
-    this.#after(this.#draw(MOST_DELAY), () => {
+    const replica = this.#replicas[index]!;
+    const link = entry.links[index]!;
+    const { registry } = entry;
+    const sentRevision = registry.revision;
+    const reported = registry.changesSince(link.sentRevision, this.#now);
+    const lastRead = { feed: link.feed, readRevision: link.readRevision };
+    this.#schedule(this.#randomUpTo(MAX_MESSAGE_DELAY), () => {
       if (!replica.isUp) {
         return;
       }
       const { feed } = replica;
-      replica.book.learn(reported, this.#now);
-      const since = asked.feed === feed ? asked.read : 0;
-      const answer = replica.book.changesSince(since, this.#now);
-      const { revision } = replica.book;
-      this.#after(this.#draw(MOST_DELAY), () => {
-        if (entry.book !== book) {
+      replica.registry.merge(reported, this.#now);
+      const since = lastRead.feed === feed ? lastRead.readRevision : 0;
+      const reply = replica.registry.changesSince(since, this.#now);
+      const { revision } = replica.registry;
+      this.#schedule(this.#randomUpTo(MAX_MESSAGE_DELAY), () => {
+        if (entry.registry !== registry) {
           return;
         }
         // The first answer brings the configuration that it serves by.
         entry.isUp = true;
-        link.told = asked.feed === feed ? told : 0;
+        link.sentRevision = lastRead.feed === feed ? sentRevision : 0;
         link.feed = feed;
-        link.read = revision;
-        book.learn(answer, this.#now);
+        link.readRevision = revision;
+        registry.merge(reply, this.#now);
       });
     });
   }
 
   /** Upstreams of a zone are reclaimed, at once or nearly so. */
-  #strikeZone(): void {
+  #reclaimZone(): void {
     const { waveShare, waveSpread } = this.#scenario;
     const zone = Math.floor(this.#random() * ZONES);
     this.#waves += 1;
     for (const upstream of this.#upstreams) {
       if (upstream.zone === zone && this.#random() < waveShare) {
         const { id } = upstream;
-        this.#after(this.#draw(waveSpread), () => {
+        this.#schedule(this.#randomUpTo(waveSpread), () => {
           if (upstream.id === id && upstream.isUp) {
-            this.#endUpstream(upstream);
+            this.#crashUpstream(upstream);
           }
         });
       }
@@ -385,23 +409,23 @@
   }
 
   #killEntry(): void {
-    const entry = this.#pick(this.#entries.filter(({ isUp }) => isUp))!;
+    const entry = this.#pickRandom(this.#entries.filter(({ isUp }) => isUp))!;
     entry.isUp = false;
     entry.isRunning = false;
-    entry.book = createBook();
+    entry.registry = createRegistry();
     for (const upstream of this.#upstreams) {
       for (const run of upstream.runs) {
         if (run.entry === entry) {
           upstream.runs.delete(run);
-          this.#endRun(run);
+          this.#finishRun(run);
         }
       }
     }
-    this.#after(PROCESS_DOWNTIME, () => {
-      entry.book = createBook();
+    this.#schedule(PROCESS_DOWNTIME, () => {
+      entry.registry = createRegistry();
       entry.underWay = new Map();
       for (const link of entry.links) {
-        Object.assign(link, { feed: 0, told: 0, read: 0 });
+        Object.assign(link, { feed: 0, sentRevision: 0, readRevision: 0 });
       }
       entry.isRunning = true;
       this.#reportToAll(entry);
@@ -413,18 +437,18 @@
     if (this.#replicas.some(({ isUp }) => !isUp)) {
       return;
     }
-    const replica = this.#pick(this.#replicas)!;
+    const replica = this.#pickRandom(this.#replicas)!;
     replica.isUp = false;
-    this.#after(PROCESS_DOWNTIME, () => {
-      replica.book = createBook();
-      replica.feed = this.#nextFeed;
+    this.#schedule(PROCESS_DOWNTIME, () => {
+      replica.registry = createRegistry();
+      replica.feed = this.#nextFeedId;
       replica.isUp = true;
     });
   }
 }
 
-function createBook(): CrashBook {
-  return new CrashBook({
+function createRegistry(): SuspectRegistry {
+  return new SuspectRegistry({
     revisions: new RevisionCounter(),
     countUpstreams: () => UPSTREAMS,
   });
--- a/packages/serving/simulated_crashes_test.ts
+++ b/packages/serving/simulated_crashes_test.ts
@@ -2,26 +2,26 @@
 
 const SEEDS = 10;
 const MINUTE = 60_000;
-const SENDS_BORNE = 3;
+const MAX_LATE_SENDS = 3;
 
 /** Harmless requests: popular ones, and ones that a single caller repeats. */
 const harmless = [
-  { callers: 6, lasts: 200, pause: 20 },
-  { callers: 8, lasts: 4000, pause: 50 },
+  { callers: 6, maxDuration: 200, maxPause: 20 },
+  { callers: 8, maxDuration: 4000, maxPause: 50 },
   ...Array.from({ length: 40 }, () => ({
     callers: 1,
-    lasts: 8000,
-    pause: 400,
+    maxDuration: 8000,
+    maxPause: 400,
   })),
   ...Array.from({ length: 40 }, () => ({
     callers: 1,
-    lasts: 1000,
-    pause: 200,
+    maxDuration: 1000,
+    maxPause: 200,
   })),
 ].map((request, at) => ({
   ...request,
   name: `harmless ${at}`,
-  endsUpstreams: false,
+  crashesUpstreams: false,
 }));
 
 const calm: Omit<CrashScenario, "seed"> = {
@@ -60,9 +60,9 @@
 const crashing = ["at one caller", "at several"].map((name, at) => ({
   name,
   callers: 1 + 3 * at,
-  lasts: 0,
-  pause: 300,
-  endsUpstreams: true,
+  maxDuration: 0,
+  maxPause: 300,
+  crashesUpstreams: true,
 }));
 
 test.each([
@@ -81,8 +81,8 @@
         waveShare: share,
         waveSpread: 500,
       }).run();
-      expect(outcome.ends).toBeGreaterThanOrEqual(3);
-      expect(outcome.late).toBeLessThanOrEqual(SENDS_BORNE);
+      expect(outcome.crashes).toBeGreaterThanOrEqual(3);
+      expect(outcome.lateSends).toBeLessThanOrEqual(MAX_LATE_SENDS);
       expect([seed, outcome.wronglyRejected]).toEqual([seed, 0]);
     }
   },
--- a/packages/serving/successive_runs.ts
+++ b/packages/serving/successive_runs.ts
@@ -5,11 +5,11 @@
  * Time by which what processes tell each other of one moment may differ: a
  * message's way and the wake-up of a busy process.
  */
-const SKEW: Milliseconds = 100;
+const MAX_CLOCK_SKEW: Milliseconds = 100;
 /** Ends that are closer together may have had one cause. */
-const APART: Milliseconds = 150;
+const MIN_CRASH_INTERVAL: Milliseconds = 150;
 /** The same where the later run was sent after the first end was noticed. */
-const APART_AFTER_END: Milliseconds = 20;
+const MIN_INTERVAL_AFTER_CRASH: Milliseconds = 20;
 
 /**
  * The runs of a request under which upstreams ended that came one after the
@@ -18,16 +18,20 @@
  * request that many callers send is at many of them.
  */
 export function successiveRuns(runs: readonly CrashedRun[]): CrashedRun[] {
-  const byEnd = [...runs].sort((left, right) => left.endedAt - right.endedAt);
+  const byCrashTime = [...runs].sort((left, right) =>
+    left.endedAt - right.endedAt
+  );
   const successive: CrashedRun[] = [];
-  let lastEnd = -Infinity;
-  for (const run of byEnd) {
+  let lastCrashAt = -Infinity;
+  for (const run of byCrashTime) {
     const { sentAt, endedAt } = run;
-    const isLater = sentAt >= lastEnd - SKEW && endedAt >= lastEnd + APART;
-    const isAfter = sentAt >= lastEnd && endedAt >= lastEnd + APART_AFTER_END;
-    if (isLater || isAfter) {
+    const isSeparate = sentAt >= lastCrashAt - MAX_CLOCK_SKEW &&
+      endedAt >= lastCrashAt + MIN_CRASH_INTERVAL;
+    const isSentAfterCrash = sentAt >= lastCrashAt &&
+      endedAt >= lastCrashAt + MIN_INTERVAL_AFTER_CRASH;
+    if (isSeparate || isSentAfterCrash) {
       successive.push(run);
-      lastEnd = endedAt;
+      lastCrashAt = endedAt;
     }
   }
   return successive;
--- a/packages/serving/judgement.ts
+++ b/packages/serving/suspect_assessment.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from "@heroncleat/base";
-import type { CrashStanding } from "./crash_standing.ts";
+import type { SuspectStatus } from "./suspect_status.ts";
 
 /** How a request stands, and until when, where that is known. @internal */
-export type Judgement = {
-  readonly standing: CrashStanding;
+export type SuspectAssessment = {
+  readonly standing: SuspectStatus;
   readonly until: Milliseconds;
 };
--- a/packages/serving/crash_book.ts
+++ b/packages/serving/suspect_registry.ts
@@ -1,31 +1,31 @@
 import type { Milliseconds } from "@heroncleat/base";
 import { ChangeLog } from "./change_log.ts";
-import { CrashStanding } from "./crash_standing.ts";
+import { SuspectStatus } from "./suspect_status.ts";
 import type { CrashedRun } from "./crashed_run.ts";
 import type { ReportedSuspect } from "./reported_suspect.ts";
 import type { RevisionCounter } from "./revision_counter.ts";
-import type { Judgement } from "./judgement.ts";
-import { judgeSuspects } from "./judge_suspects.ts";
-import type { KnownEnd } from "./known_end.ts";
+import type { SuspectAssessment } from "./suspect_assessment.ts";
+import { assessSuspects } from "./assess_suspects.ts";
+import type { InstanceCrash } from "./instance_crash.ts";
 import type { SuspectKey } from "./suspect_key.ts";
 import type { SuspectView } from "./suspect_view.ts";
 
 /** Time for which a judgement stands where nothing changes. */
-const JUDGED_FOR: Milliseconds = 1000;
+const ASSESSMENT_LIFETIME: Milliseconds = 1000;
 /** Ends from which on a request may have been rejected. */
-const SEVERAL = 3;
+const REJECTION_CRASHES = 3;
 /** Time for which so many ends are remembered. */
-const REMEMBERED_FOR: Milliseconds = 86_400_000;
+const REJECTED_RETENTION: Milliseconds = 86_400_000;
 /** Time for which fewer are. */
-const WATCHED_FOR: Milliseconds = 900_000;
+const WATCHED_RETENTION: Milliseconds = 900_000;
 /** Runs that are remembered of one request, the newest. */
-const MOST_RUNS = 32;
+const MAX_RUNS = 32;
 /** Requests that are remembered in all, and of one workspace. */
-const MOST_SUSPECTS = 1000;
-const MOST_OF_WORKSPACE = 200;
+const MAX_SUSPECTS = 1000;
+const MAX_SUSPECTS_PER_WORKSPACE = 200;
 
 /** What a book is built with. */
-type BookOptions = {
+type RegistryOptions = {
   readonly revisions: RevisionCounter;
   /** Upstreams of a service that run. */
   readonly countUpstreams: (service: string) => number;
@@ -34,7 +34,7 @@
 type Suspect = {
   readonly key: SuspectKey;
   runs: CrashedRun[];
-  answeredAt: Milliseconds;
+  completedAt: Milliseconds;
   /**
    * Most upstreams of its service that any process knew at its ends. One that
    * has just started knows few and would take many ends for chance.
@@ -54,21 +54,21 @@
  *
  * @public
  */
-export class CrashBook {
+export class SuspectRegistry {
   readonly #revisions: RevisionCounter;
   readonly #countUpstreams: (service: string) => number;
   /** Starts that ended lately, whatever ran there. */
-  readonly #ends = new Map<string, KnownEnd>();
+  readonly #instanceCrashes = new Map<string, InstanceCrash>();
   readonly #suspects = new Map<string, Suspect>();
   readonly #changes = new ChangeLog();
-  #judged: ReadonlyMap<string, Judgement> = new Map();
+  #assessments: ReadonlyMap<string, SuspectAssessment> = new Map();
   #changedAt = 0;
-  #judgedUntil: Milliseconds = -Infinity;
-  #judgedRevision = -1;
+  #assessedUntil: Milliseconds = -Infinity;
+  #assessedRevision = -1;
   /** How many suspects there are of a size. */
-  readonly #sizes = new Map<number, number>();
+  readonly #suspectCountBySize = new Map<number, number>();
 
-  constructor({ revisions, countUpstreams }: BookOptions) {
+  constructor({ revisions, countUpstreams }: RegistryOptions) {
     this.#revisions = revisions;
     this.#countUpstreams = countUpstreams;
   }
@@ -83,88 +83,91 @@
   }
 
   /** Whether a request could be suspected at all, before it is identified. */
-  mayKnow(size: number): boolean {
-    return this.#sizes.has(size);
+  hasSuspectOfSize(size: number): boolean {
+    return this.#suspectCountBySize.has(size);
   }
 
   /** What becomes of a request that is sent now. */
-  standing(request: string, now: Milliseconds): CrashStanding {
+  statusOf(request: string, now: Milliseconds): SuspectStatus {
     return this.#suspects.has(request)
-      ? this.#judge(now).get(request)!.standing
-      : CrashStanding.unsuspected;
+      ? this.#assess(now).get(request)!.standing
+      : SuspectStatus.unsuspected;
   }
 
   /** Notes that an upstream ended under a request; true where it is news. */
-  noteCrash(key: SuspectKey, run: CrashedRun): boolean {
+  recordCrash(key: SuspectKey, run: CrashedRun): boolean {
     const { upstream, endedAt } = run;
-    if (!this.#ends.has(upstream)) {
-      this.#ends.set(upstream, { service: key.service, at: endedAt });
+    if (!this.#instanceCrashes.has(upstream)) {
+      this.#instanceCrashes.set(upstream, {
+        service: key.service,
+        at: endedAt,
+      });
     }
     const known = this.#suspects.get(key.request);
-    const isKnown = known?.runs.some((other) => other.upstream === upstream);
-    if (isKnown || endedAt <= (known?.answeredAt ?? -Infinity)) {
+    const isRecorded = known?.runs.some((other) => other.upstream === upstream);
+    if (isRecorded || endedAt <= (known?.completedAt ?? -Infinity)) {
       return false;
     }
     const suspect = known ?? this.#add(key);
     suspect.runs = [...suspect.runs, run]
       .sort((left, right) => left.endedAt - right.endedAt)
-      .slice(-MOST_RUNS);
+      .slice(-MAX_RUNS);
     suspect.upstreams = Math.max(
       suspect.upstreams,
       this.#countUpstreams(key.service),
     );
-    this.#noteChange(key.request);
-    this.#bound(key.workspace);
+    this.#recordChange(key.request);
+    this.#enforceLimits(key.workspace);
     return true;
   }
 
   /** Notes that a suspected request was answered whole; true where it is news. */
-  noteAnswer(request: string, at: Milliseconds): boolean {
+  recordCompletion(request: string, at: Milliseconds): boolean {
     const suspect = this.#suspects.get(request);
     if (suspect === undefined) {
       return false;
     }
-    const left = suspect.runs.filter(({ endedAt }) => endedAt > at);
-    const isNews = left.length < suspect.runs.length;
-    suspect.runs = left;
-    if (isNews) {
-      suspect.answeredAt = Math.max(suspect.answeredAt, at);
-      this.#noteChange(request);
+    const remaining = suspect.runs.filter(({ endedAt }) => endedAt > at);
+    const isNew = remaining.length < suspect.runs.length;
+    suspect.runs = remaining;
+    if (isNew) {
+      suspect.completedAt = Math.max(suspect.completedAt, at);
+      this.#recordChange(request);
     }
-    return isNews;
+    return isNew;
   }
 
   /** Takes over what another process reports, and says what of it was news. */
-  learn(reported: readonly ReportedSuspect[], now: Milliseconds): string[] {
-    const news: string[] = [];
+  merge(reported: readonly ReportedSuspect[], now: Milliseconds): string[] {
+    const changed: string[] = [];
     for (const { crashes, answeredAge, upstreams, ...key } of reported) {
-      let isNews = false;
+      let isNew = false;
       for (const { upstream, sentAge, endedAge } of crashes) {
         const run = {
           upstream,
           sentAt: now - sentAge,
           endedAt: now - endedAge,
         };
-        isNews = this.noteCrash(key, run) || isNews;
+        isNew = this.recordCrash(key, run) || isNew;
       }
-      this.#noteUpstreams(key.request, upstreams ?? 0);
+      this.#recordUpstreamCount(key.request, upstreams ?? 0);
       if (answeredAge !== undefined) {
-        isNews = this.noteAnswer(key.request, now - answeredAge) || isNews;
+        isNew = this.recordCompletion(key.request, now - answeredAge) || isNew;
       }
-      if (isNews) {
-        news.push(key.request);
+      if (isNew) {
+        changed.push(key.request);
       }
     }
-    return news;
+    return changed;
   }
 
   /** What changed behind a revision; 0 asks for all. */
   changesSince(revision: number, now: Milliseconds): ReportedSuspect[] {
     const changed: ReportedSuspect[] = [];
-    for (const request of this.#changes.since(revision)) {
+    for (const request of this.#changes.idsSince(revision)) {
       const suspect = this.#suspects.get(request);
       if (suspect !== undefined) {
-        changed.push(describe(suspect, now));
+        changed.push(toReport(suspect, now));
       }
     }
     return changed;
@@ -174,8 +177,8 @@
   list(now: Milliseconds): SuspectView[] {
     const views: SuspectView[] = [];
     for (const suspect of this.#suspects.values()) {
-      const { standing } = this.#judge(now).get(suspect.key.request)!;
-      if (standing !== CrashStanding.unsuspected) {
+      const { standing } = this.#assess(now).get(suspect.key.request)!;
+      if (standing !== SuspectStatus.unsuspected) {
         views.push({
           ...suspect.key,
           standing,
@@ -184,45 +187,45 @@
         });
       }
     }
-    const rank = Object.values(CrashStanding);
+    const severity = Object.values(SuspectStatus);
     return views.sort((left, right) =>
-      rank.indexOf(right.standing) - rank.indexOf(left.standing)
+      severity.indexOf(right.standing) - severity.indexOf(left.standing)
     );
   }
 
   /** Forgets what has been remembered for long enough. */
   expire(now: Milliseconds): void {
     for (const [request, suspect] of this.#suspects) {
-      if (now >= forgottenFrom(suspect)) {
-        this.#drop(request);
+      if (now >= expiryTime(suspect)) {
+        this.#remove(request);
       }
     }
-    for (const [upstream, { at }] of this.#ends) {
-      if (now - at >= WATCHED_FOR) {
-        this.#ends.delete(upstream);
+    for (const [upstream, { at }] of this.#instanceCrashes) {
+      if (now - at >= WATCHED_RETENTION) {
+        this.#instanceCrashes.delete(upstream);
       }
     }
   }
 
   /** How all stand; worked out anew after a change, and now and then. */
-  #judge(now: Milliseconds): ReadonlyMap<string, Judgement> {
-    const isOutdated = this.#judgedRevision !== this.#changedAt;
-    if (isOutdated || now >= this.#judgedUntil) {
-      this.#judgedRevision = this.#changedAt;
-      this.#judged = judgeSuspects(this.#metEnds(), {
-        ends: this.#ends,
+  #assess(now: Milliseconds): ReadonlyMap<string, SuspectAssessment> {
+    const isOutdated = this.#assessedRevision !== this.#changedAt;
+    if (isOutdated || now >= this.#assessedUntil) {
+      this.#assessedRevision = this.#changedAt;
+      this.#assessments = assessSuspects(this.#crashHistories(), {
+        instanceCrashes: this.#instanceCrashes,
         countUpstreams: this.#countUpstreams,
         now,
       });
-      this.#judgedUntil = now + JUDGED_FOR;
-      for (const { until } of this.#judged.values()) {
-        this.#judgedUntil = Math.min(this.#judgedUntil, until);
+      this.#assessedUntil = now + ASSESSMENT_LIFETIME;
+      for (const { until } of this.#assessments.values()) {
+        this.#assessedUntil = Math.min(this.#assessedUntil, until);
       }
     }
-    return this.#judged;
+    return this.#assessments;
   }
 
-  *#metEnds() {
+  *#crashHistories() {
     for (const { key, runs, upstreams } of this.#suspects.values()) {
       yield { request: key.request, service: key.service, runs, upstreams };
     }
@@ -232,50 +235,55 @@
     const suspect: Suspect = {
       key,
       runs: [],
-      answeredAt: -Infinity,
+      completedAt: -Infinity,
       upstreams: 0,
     };
     this.#suspects.set(key.request, suspect);
-    this.#sizes.set(key.size, (this.#sizes.get(key.size) ?? 0) + 1);
+    this.#suspectCountBySize.set(
+      key.size,
+      (this.#suspectCountBySize.get(key.size) ?? 0) + 1,
+    );
     return suspect;
   }
 
-  #noteUpstreams(request: string, upstreams: number): void {
+  #recordUpstreamCount(request: string, upstreams: number): void {
     const suspect = this.#suspects.get(request);
     if (suspect !== undefined && upstreams > suspect.upstreams) {
       suspect.upstreams = upstreams;
-      this.#judgedUntil = -Infinity;
+      this.#assessedUntil = -Infinity;
     }
   }
 
-  #drop(request: string): void {
+  #remove(request: string): void {
     const suspect = this.#suspects.get(request);
     if (suspect === undefined) {
       return;
     }
     this.#suspects.delete(request);
-    this.#changes.drop(request);
+    this.#changes.remove(request);
     const { size } = suspect.key;
-    const left = (this.#sizes.get(size) ?? 1) - 1;
-    if (left > 0) {
-      this.#sizes.set(size, left);
+    const remaining = (this.#suspectCountBySize.get(size) ?? 1) - 1;
+    if (remaining > 0) {
+      this.#suspectCountBySize.set(size, remaining);
     } else {
-      this.#sizes.delete(size);
+      this.#suspectCountBySize.delete(size);
     }
   }
 
-  #noteChange(request: string): void {
+  #recordChange(request: string): void {
     this.#changedAt = this.#revisions.next();
-    this.#changes.note(request, this.#changedAt);
+    this.#changes.record(request, this.#changedAt);
   }
 
   /** Keeps a workspace within its share, and all within the whole. */
-  #bound(workspace: string): void {
+  #enforceLimits(workspace: string): void {
     const own = this.#suspectsOf(workspace);
-    if (own.length > MOST_OF_WORKSPACE) {
-      this.#drop(leastOf(own).key.request);
-    } else if (this.#suspects.size > MOST_SUSPECTS) {
-      this.#drop(leastOf(this.#suspectsOf(this.#largest())).key.request);
+    if (own.length > MAX_SUSPECTS_PER_WORKSPACE) {
+      this.#remove(leastSuspected(own).key.request);
+    } else if (this.#suspects.size > MAX_SUSPECTS) {
+      this.#remove(
+        leastSuspected(this.#suspectsOf(this.#largestWorkspace())).key.request,
+      );
     }
   }
 
@@ -286,7 +294,7 @@
   }
 
   /** The workspace with the most suspects. */
-  #largest(): string {
+  #largestWorkspace(): string {
     const counts = new Map<string, number>();
     let largest = "";
     for (const { key: { workspace } } of this.#suspects.values()) {
@@ -300,33 +308,33 @@
   }
 }
 
-function forgottenFrom(suspect: Suspect): Milliseconds {
-  const remembered = suspect.runs.length >= SEVERAL
-    ? REMEMBERED_FOR
-    : WATCHED_FOR;
-  return lastEventOf(suspect) + remembered;
+function expiryTime(suspect: Suspect): Milliseconds {
+  const retention = suspect.runs.length >= REJECTION_CRASHES
+    ? REJECTED_RETENTION
+    : WATCHED_RETENTION;
+  return lastEventOf(suspect) + retention;
 }
 
 /** When an upstream last ended under it, or it was last answered. */
-function lastEventOf({ runs, answeredAt }: Suspect): Milliseconds {
-  return Math.max(runs.at(-1)?.endedAt ?? -Infinity, answeredAt);
+function lastEventOf({ runs, completedAt }: Suspect): Milliseconds {
+  return Math.max(runs.at(-1)?.endedAt ?? -Infinity, completedAt);
 }
 
 /** The one with the fewest ends; of several, the oldest. */
-function leastOf(suspects: readonly Suspect[]): Suspect {
+function leastSuspected(suspects: readonly Suspect[]): Suspect {
   let least = suspects[0]!;
   for (const suspect of suspects) {
-    const fewer = suspect.runs.length - least.runs.length;
+    const difference = suspect.runs.length - least.runs.length;
     const isOlder = lastEventOf(suspect) < lastEventOf(least);
-    if (fewer < 0 || (fewer === 0 && isOlder)) {
+    if (difference < 0 || (difference === 0 && isOlder)) {
       least = suspect;
     }
   }
   return least;
 }
 
-function describe(suspect: Suspect, now: Milliseconds): ReportedSuspect {
-  const { key, runs, answeredAt, upstreams } = suspect;
+function toReport(suspect: Suspect, now: Milliseconds): ReportedSuspect {
+  const { key, runs, completedAt, upstreams } = suspect;
   return {
     ...key,
     upstreams,
@@ -335,8 +343,8 @@
       sentAge: Math.round(now - sentAt),
       endedAge: Math.round(now - endedAt),
     })),
-    answeredAge: answeredAt === -Infinity
+    answeredAge: completedAt === -Infinity
       ? undefined
-      : Math.round(now - answeredAt),
+      : Math.round(now - completedAt),
   };
 }
--- a/packages/serving/crash_standing.ts
+++ b/packages/serving/suspect_status.ts
@@ -3,7 +3,7 @@
  *
  * @public
  */
-export const CrashStanding = {
+export const SuspectStatus = {
   /** None ended under it, or it has been answered since. */
   unsuspected: "unsuspected",
   /** One has; as likely as not by chance. It goes where little else runs. */
@@ -14,5 +14,5 @@
   rejected: "rejected",
 } as const;
 
-/** @see CrashStanding @public */
-export type CrashStanding = typeof CrashStanding[keyof typeof CrashStanding];
+/** @public */
+export type SuspectStatus = typeof SuspectStatus[keyof typeof SuspectStatus];
--- a/packages/serving/sync_reply.ts
+++ b/packages/serving/sync_reply.ts
@@ -2,7 +2,7 @@
 import type { KnownEntry } from "./known_entry.ts";
 import type { EntryChanges } from "./entry_changes.ts";
 import type { ReportedSuspect } from "./reported_suspect.ts";
-import type { RelayedCharges } from "./relayed_charges.ts";
+import type { RelayedChargeReport } from "./relayed_charge_report.ts";
 import type { SharedState } from "./shared_state.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
 
@@ -43,7 +43,7 @@
   /** Entries that the replica knows of and that are silent to it. */
   readonly unheard?: readonly string[];
   /** What the wanted ones of them reported to it. */
-  readonly charges?: Readonly<Record<string, RelayedCharges>>;
+  readonly charges?: Readonly<Record<string, RelayedChargeReport>>;
   /** Whether the replica takes reports of what changed alone. */
   readonly takesPartial?: true;
   /** Whether the report couldn't be taken and a whole one is needed. */
--- a/packages/serving/sync_request.ts
+++ b/packages/serving/sync_request.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { ReportedSuspect } from "./reported_suspect.ts";
-import type { RelayedCharges } from "./relayed_charges.ts";
+import type { RelayedChargeReport } from "./relayed_charge_report.ts";
 import type { UpstreamLoad } from "./upstream_load.ts";
 import type { WorkspaceCounts } from "./workspace_counts.ts";
 
@@ -41,7 +41,7 @@
   /** Everything charged since the start of the process, by workspace. */
   readonly spent: Readonly<Record<string, number>>;
   /** Charges of entries that don't report to this replica, by name. */
-  readonly relayedCharges?: Readonly<Record<string, RelayedCharges>>;
+  readonly relayedCharges?: Readonly<Record<string, RelayedChargeReport>>;
   /** Entries that don't report to another replica. */
   readonly wantedCharges?: readonly string[];
   /**
--- a/packages/serving/upstream_directory.ts
+++ b/packages/serving/upstream_directory.ts
@@ -1,29 +1,29 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { KnownUpstream } from "./known_upstream.ts";
 import type { MergeOutcome } from "./merge_outcome.ts";
-import { startId } from "./start_id.ts";
+import { instanceId } from "./instance_id.ts";
 import type { UpdateSource } from "./update_source.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
-import { UpstreamStarts } from "./upstream_starts.ts";
+import { UpstreamInstances } from "./upstream_instances.ts";
 import { upstreamUpdate } from "./upstream_update.ts";
 
 /** The upstream itself, which reports to the process that takes it in. */
-const FIRST_HAND: UpdateSource = { reporter: "", age: 0 };
+const DIRECT_SOURCE: UpdateSource = { reporter: "", age: 0 };
 
 /** Time after which a silent upstream that left is forgotten. */
-const FORGET_AFTER = 60_000;
+const RETENTION_MS = 60_000;
 /**
  * Time for which a later start at an address stands against updates of an
  * earlier one: two heartbeats. If the order in which the two were first seen
  * was wrong, the one that lives is back as soon as the other has been silent
  * for so long.
  */
-const SUPERSEDED_FOR: Milliseconds = 2500;
+const SUPERSEDED_WINDOW: Milliseconds = 2500;
 /**
  * Time in which a departure without a birth is taken for that of an earlier
  * start, where there was one: updates may be seconds late.
  */
-const FRESH_FOR: Milliseconds = 5000;
+const NEW_INSTANCE_WINDOW: Milliseconds = 5000;
 
 /**
  * The upstreams that announced themselves. Updates from several sources may
@@ -37,64 +37,64 @@
   readonly #known = new Map<string, KnownUpstream>();
   /** Starts that were seen at an address; a search over all would be slow. */
   readonly #idsAt = new Map<string, Set<string>>();
-  readonly #starts = new UpstreamStarts();
+  readonly #instances = new UpstreamInstances();
 
   /** Takes updates in and says what they brought. */
   merge(
     reported: UpstreamRecord,
     now: Milliseconds,
-    source: UpdateSource = FIRST_HAND,
+    source: UpdateSource = DIRECT_SOURCE,
   ): MergeOutcome {
     // Processes of a release without births report no name beside the identity.
-    const updates = { ...reported, name: reported.name ?? reported.id };
-    const leaving = this.#findNamed(updates, now);
-    if (leaving !== undefined) {
-      this.remove(leaving, now, source);
+    const update = { ...reported, name: reported.name ?? reported.id };
+    const departed = this.#findDepartedByName(update, now);
+    if (departed !== undefined) {
+      this.remove(departed, now, source);
       return "changed";
     }
-    const entry = this.#known.get(updates.id);
+    const entry = this.#known.get(update.id);
     const known = entry?.record;
-    if (known !== undefined && !upstreamUpdate.isNewer(updates, known)) {
+    if (known !== undefined && !upstreamUpdate.isNewer(update, known)) {
       return "late";
     }
     // A heartbeat may be held up by a cut and come after its sender crashed.
-    const isAlive = updates.state === "ready";
-    if (isAlive && entry !== undefined && this.#isSuperseded(entry, now)) {
+    const isReady = update.state === "ready";
+    if (isReady && entry !== undefined && this.#isSuperseded(entry, now)) {
       return "late";
     }
-    const livedBefore = this.#starts.lives(updates);
-    if (!this.#starts.receive(updates, now - source.age)) {
-      return this.#mergeEarlier(updates, now, source);
+    const wasCurrent = this.#instances.isCurrent(update);
+    if (!this.#instances.observe(update, now - source.age)) {
+      return this.#mergeNonCurrent(update, now, source);
     }
-    const record = known === undefined ? updates : {
-      ...updates,
-      sequence: Math.max(updates.sequence, known.sequence),
-      state: upstreamUpdate.laterState(known.state, updates.state),
+    const record = known === undefined ? update : {
+      ...update,
+      sequence: Math.max(update.sequence, known.sequence),
+      state: upstreamUpdate.laterState(known.state, update.state),
     };
-    this.#note(record, now, source);
-    const isSame = known !== undefined &&
-      upstreamUpdate.isSameBeside(record, known);
-    return livedBefore && isSame ? "received" : "changed";
+    this.#store(record, now, source);
+    const isUnchanged = known !== undefined &&
+      upstreamUpdate.differsOnlyInSequence(record, known);
+    return wasCurrent && isUnchanged ? "received" : "changed";
   }
 
   /**
    * The start that an update is of: its own but for a departure that somebody
    * who knew none reports by the name alone.
    */
-  startOf(update: UpstreamRecord, now: Milliseconds): string {
+  findInstanceId(update: UpstreamRecord, now: Milliseconds): string {
     const named = { ...update, name: update.name ?? update.id };
-    return this.#findNamed(named, now) ?? update.id;
+    return this.#findDepartedByName(named, now) ?? update.id;
   }
 
-  #findNamed(
+  #findDepartedByName(
     { id, name, born, state }: UpstreamRecord,
     now: Milliseconds,
   ): string | undefined {
     if (born !== undefined || state !== "gone") {
       return undefined;
     }
-    const leaving = this.findLeaving(name, { born, now });
-    return leaving === id ? undefined : leaving;
+    const departed = this.findDeparted(name, { born, now });
+    return departed === id ? undefined : departed;
   }
 
   /** Takes in that a known upstream sent a heartbeat like the one before. */
@@ -109,8 +109,8 @@
     if (!isNew || this.#isSuperseded(known, now)) {
       return;
     }
-    if (this.#starts.receive(known.record, now - heartbeat.age)) {
-      this.#note({ ...known.record, sequence }, now, heartbeat);
+    if (this.#instances.observe(known.record, now - heartbeat.age)) {
+      this.#store({ ...known.record, sequence }, now, heartbeat);
     }
   }
 
@@ -118,36 +118,36 @@
    * The start that a departure is of. One that names no birth is of the living
    * start, unless that is so young that the departure may be an earlier one's.
    */
-  findLeaving(
+  findDeparted(
     name: string,
     options: { born: Milliseconds | undefined; now: Milliseconds },
   ): string | undefined {
     const { born, now } = options;
     if (born !== undefined) {
-      return startId(name, born);
+      return instanceId(name, born);
     }
-    const living = this.#known.get(this.#starts.livingOf(name));
-    const isFresh = living !== undefined &&
-      now - living.firstReceivedAt < FRESH_FOR;
-    return isFresh && this.#starts.hasEarlier(living.record)
+    const current = this.#known.get(this.#instances.currentIdOf(name));
+    const isNewInstance = current !== undefined &&
+      now - current.firstReceivedAt < NEW_INSTANCE_WINDOW;
+    return isNewInstance && this.#instances.hasOtherInstances(current.record)
       ? undefined
-      : living?.record.id ?? name;
+      : current?.record.id ?? name;
   }
 
   /** Notes that a start of an upstream is gone. */
   remove(
     id: string,
     now: Milliseconds,
-    source: UpdateSource = FIRST_HAND,
+    source: UpdateSource = DIRECT_SOURCE,
   ): UpstreamRecord {
     const known = this.#known.get(id)?.record;
     const record: UpstreamRecord = {
-      ...(known ?? { ...UNKNOWN, name: id }),
+      ...(known ?? { ...UNKNOWN_UPSTREAM, name: id }),
       id,
       state: "gone",
       sequence: (known?.sequence ?? 0) + 1,
     };
-    this.#note(record, now, source);
+    this.#store(record, now, source);
     return record;
   }
 
@@ -157,25 +157,25 @@
    * was acknowledged, and nobody says it again should this start prove to be
    * the living one.
    */
-  #mergeEarlier(
-    updates: UpstreamRecord,
+  #mergeNonCurrent(
+    update: UpstreamRecord,
     now: Milliseconds,
     source: UpdateSource,
   ): MergeOutcome {
-    const known = this.#known.get(updates.id)?.record;
+    const known = this.#known.get(update.id)?.record;
     if (known === undefined) {
-      this.#note(updates, now, source);
-      return updates.state === "ready" ? "late" : "changed";
+      this.#store(update, now, source);
+      return update.state === "ready" ? "late" : "changed";
     }
-    const state = upstreamUpdate.laterState(known.state, updates.state);
+    const state = upstreamUpdate.laterState(known.state, update.state);
     if (state === known.state) {
       return "late";
     }
-    this.#note({ ...known, state }, now, source);
+    this.#store({ ...known, state }, now, source);
     return "changed";
   }
 
-  #note(
+  #store(
     record: UpstreamRecord,
     now: Milliseconds,
     { reporter, age }: UpdateSource,
@@ -202,7 +202,7 @@
       const { record, receivedAt, firstReceivedAt } = this.#known.get(otherId)!;
       const isOther = record.id !== id && record.name !== name;
       const isLater = isOther && firstReceivedAt > earlier.firstReceivedAt;
-      if (isLater && now - receivedAt < SUPERSEDED_FOR) {
+      if (isLater && now - receivedAt < SUPERSEDED_WINDOW) {
         return true;
       }
     }
@@ -216,7 +216,7 @@
   /** Living starts, with those that left lately. */
   *list(): Iterable<KnownUpstream> {
     for (const known of this.#known.values()) {
-      if (this.#starts.lives(known.record)) {
+      if (this.#instances.isCurrent(known.record)) {
         yield known;
       }
     }
@@ -232,17 +232,17 @@
   }
 
   /** Whether the upstream of a start has started again. */
-  isOver(id: string): boolean {
+  isReplaced(id: string): boolean {
     const known = this.#known.get(id);
-    return known !== undefined && !this.#starts.lives(known.record);
+    return known !== undefined && !this.#instances.isCurrent(known.record);
   }
 
   /** Drops what has been silent for so long that no late updates can come. */
-  forget(now: Milliseconds): void {
+  expire(now: Milliseconds): void {
     for (const [id, { receivedAt, record }] of this.#known) {
-      if (now - receivedAt > FORGET_AFTER) {
+      if (now - receivedAt > RETENTION_MS) {
         this.#known.delete(id);
-        this.#starts.forget(record);
+        this.#instances.remove(record);
         this.#forgetAddress(record);
       }
     }
@@ -257,7 +257,7 @@
   }
 }
 
-const UNKNOWN: Omit<UpstreamRecord, "id" | "name"> = {
+const UNKNOWN_UPSTREAM: Omit<UpstreamRecord, "id" | "name"> = {
   born: undefined,
   service: "",
   address: "",
--- a/packages/serving/upstream_feed.ts
+++ b/packages/serving/upstream_feed.ts
@@ -11,7 +11,7 @@
  * Ages below are left out. Two hops then hide 1 s at most, less than lies
  * between two heartbeats, and most heartbeats are passed on sooner.
  */
-const LEAST_AGE: Milliseconds = 500;
+const MIN_REPORTED_AGE: Milliseconds = 500;
 
 /**
  * The upstreams that one control replica knows, and what changed of them behind
@@ -36,13 +36,13 @@
     now: Milliseconds,
     source?: UpdateSource,
   ): MergeOutcome {
-    const id = this.directory.startOf(update, now);
+    const id = this.directory.findInstanceId(update, now);
     const outcome = this.directory.merge(update, now, source);
     if (outcome === "late") {
       return outcome;
     }
     const revision = this.#revisions.next();
-    this.#received.note(id, revision);
+    this.#received.record(id, revision);
     if (outcome === "changed" || !this.#changedAt.has(id)) {
       this.#changedAt.set(id, revision);
     }
@@ -59,13 +59,13 @@
     now: Milliseconds,
     born?: Milliseconds,
   ): string | undefined {
-    const id = this.directory.findLeaving(name, { born, now });
+    const id = this.directory.findDeparted(name, { born, now });
     if (id === undefined) {
       return undefined;
     }
     this.directory.remove(id, now);
     const revision = this.#revisions.next();
-    this.#received.note(id, revision);
+    this.#received.record(id, revision);
     this.#changedAt.set(id, revision);
     return id;
   }
@@ -75,9 +75,9 @@
     const upstreams: UpstreamRecord[] = [];
     const beats: Record<string, number> = {};
     const ages: Record<string, Milliseconds> = {};
-    for (const id of this.#received.since(revision)) {
+    for (const id of this.#received.idsSince(revision)) {
       const known = this.directory.get(id);
-      if (known === undefined || !this.#isPassedOn(known.record)) {
+      if (known === undefined || !this.#isForwarded(known.record)) {
         continue;
       }
       const { record, receivedAt } = known;
@@ -87,7 +87,7 @@
         beats[id] = record.sequence;
       }
       const age = Math.round(now - receivedAt);
-      if (age >= LEAST_AGE) {
+      if (age >= MIN_REPORTED_AGE) {
         ages[id] = age;
       }
     }
@@ -95,16 +95,16 @@
   }
 
   /** An earlier start matters to nobody, but for the word that it leaves. */
-  #isPassedOn({ id, state }: UpstreamRecord): boolean {
-    return state !== "ready" || !this.directory.isOver(id);
+  #isForwarded({ id, state }: UpstreamRecord): boolean {
+    return state !== "ready" || !this.directory.isReplaced(id);
   }
 
   /** Forgets upstreams that can't matter any more. */
   expire(now: Milliseconds): void {
-    this.directory.forget(now);
+    this.directory.expire(now);
     for (const id of this.#received.ids()) {
       if (this.directory.get(id) === undefined) {
-        this.#received.drop(id);
+        this.#received.remove(id);
         this.#changedAt.delete(id);
       }
     }
--- a/packages/serving/upstream_starts_test.ts
+++ b/packages/serving/upstream_instances_test.ts
@@ -1,5 +1,10 @@
 import fc from "fast-check";
-import { Hub, startId, UpstreamDirectory, type UpstreamRecord } from "./mod.ts";
+import {
+  Hub,
+  instanceId,
+  UpstreamDirectory,
+  type UpstreamRecord,
+} from "./mod.ts";
 
 const NAME = "i-7";
 
@@ -9,7 +14,7 @@
   part: Partial<UpstreamRecord> = {},
 ): UpstreamRecord {
   return {
-    id: startId(NAME, born),
+    id: instanceId(NAME, born),
     name: NAME,
     born,
     service: "writers",
@@ -39,13 +44,13 @@
     directory.merge(heartbeat(1000, 40), 0);
     expect(directory.merge(heartbeat(2000, 1), 100)).toBe("changed");
     expect(living(directory)).toEqual(["2000 ready 1"]);
-    expect(directory.isOver(startId(NAME, 1000))).toBe(true);
+    expect(directory.isReplaced(instanceId(NAME, 1000))).toBe(true);
   });
 
   test("is there again after it had drained and left", () => {
     const directory = new UpstreamDirectory();
     directory.merge(heartbeat(1000, 40, { state: "draining" }), 0);
-    directory.remove(startId(NAME, 1000), 100);
+    directory.remove(instanceId(NAME, 1000), 100);
     directory.merge(heartbeat(2000, 1), 200);
     expect(living(directory)).toEqual(["2000 ready 1"]);
   });
@@ -61,7 +66,7 @@
       expect(directory.merge(heartbeat(1000, 41, { state }), 200)).toBe(
         outcome,
       );
-      expect(directory.get(startId(NAME, 1000))?.record.state).toBe(state);
+      expect(directory.get(instanceId(NAME, 1000))?.record.state).toBe(state);
       // Two heartbeats that a cut held up come at once.
       directory.merge(heartbeat(1000, 42, { state }), 3000);
       directory.merge(heartbeat(1000, 43, { state }), 3010);
@@ -106,7 +111,7 @@
     expect(hub.removeUpstream(NAME, 200)).toBeUndefined();
     expect(living(hub.directory)).toEqual(["2000 ready 1"]);
     hub.mergeUpstream(heartbeat(2000, 8), 9000);
-    expect(hub.removeUpstream(NAME, 9100)).toBe(startId(NAME, 2000));
+    expect(hub.removeUpstream(NAME, 9100)).toBe(instanceId(NAME, 2000));
     expect(living(hub.directory)).toEqual(["2000 gone 9"]);
   });
 
@@ -114,8 +119,8 @@
     const hub = new Hub("f");
     hub.mergeUpstream(heartbeat(1000, 40), 0);
     hub.mergeUpstream(heartbeat(2000, 1), 100);
-    const { upstreams } = hub.answerFeed({ feed: "", revision: 0 }, 200);
-    expect(upstreams.map(({ id }) => id)).toEqual([startId(NAME, 2000)]);
+    const { upstreams } = hub.createFeedReply({ feed: "", revision: 0 }, 200);
+    expect(upstreams.map(({ id }) => id)).toEqual([instanceId(NAME, 2000)]);
   });
 
   test("ends as the last born, in whatever order updates come within 2 s", () => {
--- a/packages/serving/usage_counts.ts
+++ b/packages/serving/usage_counts.ts
@@ -19,8 +19,8 @@
   }
 
   /** Counts a request that began at a moment of true time since 1970. */
-  count(workspace: string, beganAt: Milliseconds): void {
-    const window = Math.floor(beganAt / this.#window);
+  count(workspace: string, startedAt: Milliseconds): void {
+    const window = Math.floor(startedAt / this.#window);
     const counts = this.#counts.get(window) ?? new Map<string, number>();
     counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
     this.#counts.set(window, counts);
--- a/packages/serving/usage_book.ts
+++ b/packages/serving/usage_totals.ts
@@ -13,16 +13,16 @@
  *
  * @internal
  */
-export class UsageBook {
+export class UsageTotals {
   readonly #processes = new Map<string, Map<number, Record<string, number>>>();
 
-  learn(usage: ProcessUsage): void {
+  merge(usage: ProcessUsage): void {
     for (const [boot, reported] of Object.entries(usage)) {
       const windows = this.#processes.get(boot) ??
         new Map<number, Record<string, number>>();
       for (const [window, counts] of Object.entries(reported)) {
         const known = windows.get(Number(window)) ?? {};
-        raise(known, counts);
+        mergeMaximums(known, counts);
         windows.set(Number(window), known);
       }
       this.#processes.set(boot, windows);
@@ -55,7 +55,7 @@
   }
 
   /** Drops windows so old that nobody reports them any more. */
-  forget(): void {
+  expire(): void {
     this.dropBefore(this.#newest - KEPT_WINDOWS);
   }
 
@@ -83,7 +83,10 @@
 }
 
 /** Raises known counts to those that arrived. */
-function raise(known: Record<string, number>, counts: WorkspaceCounts): void {
+function mergeMaximums(
+  known: Record<string, number>,
+  counts: WorkspaceCounts,
+): void {
   for (const [name, count] of Object.entries(counts)) {
     known[name] = Math.max(known[name] ?? 0, count);
   }
--- a/packages/serving/workspace_quota.ts
+++ b/packages/serving/workspace_quota.ts
@@ -1,7 +1,7 @@
 import type { QuotaCharge } from "./quota_charge.ts";
 import type { Milliseconds } from "@heroncleat/base";
-import { exchangePause } from "./exchange_pause.ts";
-import { OthersCharges } from "./others_charges.ts";
+import { exchangeInterval } from "./exchange_interval.ts";
+import { PeerCharges } from "./peer_charges.ts";
 import { QuotaAccount } from "./quota_account.ts";
 import type { QuotaLimit } from "./quota_limit.ts";
 import { quotaLimits } from "./quota_limits.ts";
@@ -98,7 +98,7 @@
   readonly #settings: QuotaSettings;
   readonly #accounts = new Map<string, QuotaAccount>();
   readonly #spent = new Map<string, number>();
-  readonly #others: OthersCharges;
+  readonly #others: PeerCharges;
   #othersAt: Milliseconds = 0;
   #startedAt: Milliseconds | undefined;
   #entries = 1;
@@ -109,7 +109,7 @@
 
   constructor(settings: QuotaSettings) {
     this.#settings = settings;
-    this.#others = new OthersCharges(settings.isFresh);
+    this.#others = new PeerCharges(settings.isFresh);
   }
 
   /** Charges a request, or says how long until it could be charged. */
@@ -169,7 +169,7 @@
 
   /** Whether there are so many entries that each exchanges seldom. */
   get #isFarApart(): boolean {
-    return exchangePause.whole(this.#entries) > FRESH_FOR;
+    return exchangeInterval.full(this.#entries) > FRESH_FOR;
   }
 
   /** Gives back what a request that didn't run was charged. */
@@ -231,7 +231,7 @@
     now: Milliseconds,
   ): Map<string, number> {
     this.#startedAt ??= now;
-    const added = this.#others.learn(source, spent);
+    const added = this.#others.merge(source, spent);
     for (const [name, more] of added) {
       this.#accountOf(name).spend(more, now);
     }
