--- a/packages/serving/exchange_changes_test.ts
+++ b/packages/serving/exchange_changes_test.ts
@@ -274,8 +274,8 @@
         fc.array(fc.tuple(fc.nat(NAMES.length - 1), step), { maxLength: 80 }),
         (steps) => {
           const group = new Group();
-          for (const [place, each] of steps) {
-            apply(group, group.followers[place]!, each as Step);
+          for (const [index, each] of steps) {
+            apply(group, group.followers[index]!, each as Step);
           }
           // One exchange detects a copy that differs, and the next one corrects
           // it.
--- a/packages/serving/hub_test.ts
+++ b/packages/serving/hub_test.ts
@@ -168,10 +168,10 @@
 
 describe("a large configuration document", () => {
   const source = JSON.stringify(
-    Array.from({ length: 1400 }, (_, place) => ({
-      name: `r-${place}`,
+    Array.from({ length: 1400 }, (_, index) => ({
+      name: `r-${index}`,
       host: "inn.example",
-      prefix: `/p${place}/`,
+      prefix: `/p${index}/`,
       kind: "streaming",
       timeout: 15_000,
       latencyObjective: 800,
--- a/packages/serving/simulated_crashes_test.ts
+++ b/packages/serving/simulated_crashes_test.ts
@@ -18,9 +18,9 @@
     maxDuration: 1000,
     maxPause: 200,
   })),
-].map((request, at) => ({
+].map((request, index) => ({
   ...request,
-  name: `harmless ${at}`,
+  name: `harmless ${index}`,
   crashesUpstreams: false,
 }));
 
@@ -58,10 +58,10 @@
 
 const crashing = ["from one caller", "from several callers"].map((
   name,
-  at,
+  index,
 ) => ({
   name,
-  callers: 1 + 3 * at,
+  callers: 1 + 3 * index,
   maxDuration: 0,
   maxPause: 300,
   crashesUpstreams: true,
--- a/packages/serving/successive_runs.ts
+++ b/packages/serving/successive_runs.ts
@@ -5,7 +5,7 @@
  * Maximum difference between the times at which two processes record the same
  * event, due to message latency and scheduling.
  */
-const MAX_CLOCK_SKEW: Milliseconds = 100;
+const MAX_EVENT_TIME_SKEW: Milliseconds = 100;
 /** Crashes less than this apart may have a common cause. */
 const MIN_CRASH_INTERVAL: Milliseconds = 150;
 /**
@@ -27,7 +27,7 @@
   let lastCrashAt = -Infinity;
   for (const run of byCrashTime) {
     const { sentAt, endedAt } = run;
-    const isSeparate = sentAt >= lastCrashAt - MAX_CLOCK_SKEW &&
+    const isSeparate = sentAt >= lastCrashAt - MAX_EVENT_TIME_SKEW &&
       endedAt >= lastCrashAt + MIN_CRASH_INTERVAL;
     const isSentAfterCrash = sentAt >= lastCrashAt &&
       endedAt >= lastCrashAt + MIN_INTERVAL_AFTER_CRASH;
--- a/packages/serving/suspect_registry_test.ts
+++ b/packages/serving/suspect_registry_test.ts
@@ -54,11 +54,11 @@
 
 test("crashes of different services and runs of 0 ms count", () => {
   const registry = createRegistry();
-  for (const [at, service] of ["desk", "books", "desk"].entries()) {
+  for (const [index, service] of ["desk", "books", "desk"].entries()) {
     const key = { ...keyOf("r"), service };
-    const time = 1000 * at;
+    const time = 1000 * index;
     registry.recordCrash(key, {
-      upstream: `u${at}`,
+      upstream: `u${index}`,
       sentAt: time,
       endedAt: time,
     });
@@ -79,8 +79,12 @@
 // reclaimed together.
 test("simultaneous crashes count as one", () => {
   const registry = createRegistry();
-  for (let at = 0; at < 20; at += 1) {
-    const run = { upstream: `u${at}`, sentAt: 10 * at, endedAt: 5000 + 5 * at };
+  for (let index = 0; index < 20; index += 1) {
+    const run = {
+      upstream: `u${index}`,
+      sentAt: 10 * index,
+      endedAt: 5000 + 5 * index,
+    };
     registry.recordCrash(keyOf("r"), run);
   }
   expect(registry.statusOf("r", 6000)).toBe(SuspectStatus.watched);
@@ -88,10 +92,10 @@
 
 test("overlapping runs count as one, however far apart their crashes are", () => {
   const registry = createRegistry();
-  for (const [at, endedAt] of [3000, 5000, 9000, 12_000].entries()) {
+  for (const [index, endedAt] of [3000, 5000, 9000, 12_000].entries()) {
     registry.recordCrash(keyOf("r"), {
-      upstream: `u${at}`,
-      sentAt: at,
+      upstream: `u${index}`,
+      sentAt: index,
       endedAt,
     });
   }
@@ -171,17 +175,20 @@
 
 test("where upstreams often crash it takes more crashes to reject a request", () => {
   const registry = createRegistry();
-  for (let at = 0; at < 20; at += 1) {
-    registry.recordCrash(keyOf(`once ${at}`), runAt(`v${at}`, 200 * at));
+  for (let index = 0; index < 20; index += 1) {
+    registry.recordCrash(
+      keyOf(`once ${index}`),
+      runAt(`v${index}`, 200 * index),
+    );
   }
-  for (let at = 0; at < 6; at += 1) {
+  for (let index = 0; index < 6; index += 1) {
     const run = {
-      upstream: `u${at}`,
-      sentAt: 600 * at,
-      endedAt: 600 * at + 500,
+      upstream: `u${index}`,
+      sentAt: 600 * index,
+      endedAt: 600 * index + 500,
     };
     registry.recordCrash(keyOf("slow"), run);
-    registry.recordCrash(keyOf("quick"), runAt(`w${at}`, 600 * at));
+    registry.recordCrash(keyOf("quick"), runAt(`w${index}`, 600 * index));
     const standing = registry.statusOf("slow", 4000);
     expect(standing).not.toBe(SuspectStatus.rejected);
   }
@@ -233,10 +240,10 @@
     const registry = createRegistry();
     registry.merge(crashReports, now);
     const other = createRegistry();
-    const at = Math.abs(turn) % (crashReports.length + 1);
+    const offset = Math.abs(turn) % (crashReports.length + 1);
     other.merge([
-      ...crashReports.slice(at),
-      ...crashReports.slice(0, at),
+      ...crashReports.slice(offset),
+      ...crashReports.slice(0, offset),
       ...crashReports,
     ], now);
     registry.merge(reports, now);
--- a/packages/serving/upstream_directory.ts
+++ b/packages/serving/upstream_directory.ts
@@ -252,12 +252,12 @@
       if (now - receivedAt > RETENTION_MS) {
         this.#known.delete(id);
         this.#instances.remove(record);
-        this.#forgetAddress(record);
+        this.#removeAddress(record);
       }
     }
   }
 
-  #forgetAddress({ id, address }: UpstreamRecord): void {
+  #removeAddress({ id, address }: UpstreamRecord): void {
     const ids = this.#idsAt.get(address);
     ids?.delete(id);
     if (ids?.size === 0) {
