--- a/packages/serving/counter_report.ts
+++ b/packages/serving/counter_report.ts
@@ -9,11 +9,10 @@
   & Pick<SyncRequest, "isPartial" | "digest">;
 
 /**
- * Reports an entry's counters to one control replica: whole at first, then what
- * changed since a report that the replica acknowledged. Counters are totals, so
- * a report that arrives twice changes nothing. After a call that failed it isn't
- * known what arrived, and the next report is whole again; so is the one after a
- * replica found that its copy differs.
+ * Builds the reports of an entry's counters for one control replica: a full
+ * report first, then reports of what changed since the last acknowledged one.
+ * Counters are totals, so reports are idempotent. After a failed call, or when
+ * the replica's copy differs, the next report is a full one.
  *
  * @public
  */
@@ -23,11 +22,10 @@
   #acknowledged: EntryCounters | undefined;
 
   /**
-   * What to report now.
-   *
-   * @param feed The replica's process, as its last reply named it.
+   * @param feed Feed ID from the replica's last reply; it identifies its
+   * process.
    */
-  describe(feed: string, counters: EntryCounters): ReportedCounters {
+  build(feed: string, counters: EntryCounters): ReportedCounters {
     const known = feed === this.#feed ? this.#acknowledged : undefined;
     this.#sent = counters;
     const digest = sum(counters.spent);
@@ -35,25 +33,24 @@
       return { ...counters, isPartial: false, digest };
     }
     return {
-      spent: changed(counters.spent, known.spent),
-      readWork: changed(counters.readWork, known.readWork),
+      spent: changedTotals(counters.spent, known.spent),
+      readWork: changedTotals(counters.readWork, known.readWork),
       usage: changedUsage(counters.usage, known.usage),
       isPartial: true,
       digest,
     };
   }
 
-  /** Takes in that a replica answered the last report. */
-  noteReply(
+  handleReply(
     reply: Pick<SyncReply, "feed" | "takesPartial" | "needsWhole">,
   ): void {
-    const isTaken = reply.takesPartial === true && !reply.needsWhole;
+    const isAccepted = reply.takesPartial === true && !reply.needsWhole;
     this.#feed = reply.feed;
-    this.#acknowledged = isTaken ? this.#sent : undefined;
+    this.#acknowledged = isAccepted ? this.#sent : undefined;
   }
 
-  /** Takes in that it isn't known whether the last report arrived. */
-  noteFailure(): void {
+  /** Handles a call without a reply: the report may or may not have arrived. */
+  handleFailure(): void {
     this.#acknowledged = undefined;
   }
 }
@@ -66,7 +63,7 @@
   return total;
 }
 
-function changed(
+function changedTotals(
   totals: Readonly<Record<string, number>>,
   known: Readonly<Record<string, number>>,
 ): Record<string, number> {
@@ -85,9 +82,9 @@
 ): Record<string, WorkspaceCounts> {
   const changes: Record<string, WorkspaceCounts> = {};
   for (const [window, counts] of Object.entries(usage)) {
-    const ofWindow = changed(counts, known[window] ?? {});
-    if (Object.keys(ofWindow).length > 0) {
-      changes[window] = ofWindow;
+    const windowChanges = changedTotals(counts, known[window] ?? {});
+    if (Object.keys(windowChanges).length > 0) {
+      changes[window] = windowChanges;
     }
   }
   return changes;
--- a/packages/serving/document_sender.ts
+++ b/packages/serving/document_sender.ts
@@ -1,21 +1,21 @@
-import { packedDocument } from "./packed_document.ts";
+import { documentCodec } from "./document_codec.ts";
 import type { SyncRequest } from "./sync_request.ts";
 
-/** The confirmed document of a replica, as it came. */
+/** The confirmed configuration document of a replica, uncompressed. */
 type ConfirmedDocument = {
   readonly version: number;
   readonly source: string;
 };
 
 /**
- * The document as entries are sent it: packed once for all of them, and only
- * where an entry's is older. Every replica sends it, as an entry may reach just
- * one that has it.
+ * Provides the configuration document for entries that have an older version,
+ * encoded once per version. Every replica sends it, as an entry may reach only
+ * one replica that has it.
  *
  * @internal
  */
 export class DocumentSender {
-  #packed = { version: -1, text: "" };
+  #encoded = { version: -1, text: "" };
 
   documentFor(
     request: SyncRequest,
@@ -27,9 +27,9 @@
       return undefined;
     }
     const { version, source } = document;
-    if (this.#packed.version !== version) {
-      this.#packed = { version, text: packedDocument.pack(source) };
+    if (this.#encoded.version !== version) {
+      this.#encoded = { version, text: documentCodec.encode(source) };
     }
-    return this.#packed.text;
+    return this.#encoded.text;
   }
 }
--- /dev/null
+++ b/packages/serving/exchange_interval.ts
@@ -0,0 +1,57 @@
+import type { Milliseconds } from "@heroncleat/base";
+
+/** Interval of full exchanges, with the primary, for few entries. */
+const FULL_INTERVAL: Milliseconds = 150;
+/** Interval of short exchanges, with each other replica, for few entries. */
+const SHORT_INTERVAL: Milliseconds = 400;
+/**
+ * Number of entries above which intervals grow, so that the total load on a
+ * replica stays constant.
+ */
+const ENTRY_SCALING_THRESHOLD = 32;
+/**
+ * Upper bound of all intervals. It limits the age of an entry's view of the
+ * others; replicas treat an entry as unresponsive after twice this time.
+ */
+const MAX_INTERVAL: Milliseconds = 600;
+/**
+ * Interval before the first configuration, for few entries. It is short so that
+ * entries that start together serve as soon as there is a leader.
+ */
+const INITIAL_INTERVAL: Milliseconds = 50;
+const CHECKS_PER_FULL_INTERVAL = 3;
+
+/**
+ * Intervals between the exchanges of an entry with one control replica, by the
+ * number of entries.
+ *
+ * @public
+ */
+export const exchangeInterval = {
+  /** Of full exchanges, with the primary. */
+  full(entries: number): Milliseconds {
+    return scaleToEntries(FULL_INTERVAL, entries);
+  },
+
+  /** Of short exchanges, with each other replica. */
+  short(entries: number): Milliseconds {
+    return scaleToEntries(SHORT_INTERVAL, entries);
+  },
+
+  /** Of exchanges with each replica before the first configuration. */
+  initial(entries: number): Milliseconds {
+    return scaleToEntries(INITIAL_INTERVAL, entries);
+  },
+
+  /** Of checks for exchanges that are due; each check wakes the process up. */
+  check(entries: number): Milliseconds {
+    return scaleToEntries(FULL_INTERVAL, entries) / CHECKS_PER_FULL_INTERVAL;
+  },
+};
+
+function scaleToEntries(interval: Milliseconds, entries: number): Milliseconds {
+  return Math.min(
+    MAX_INTERVAL,
+    interval * Math.max(1, entries / ENTRY_SCALING_THRESHOLD),
+  );
+}
--- a/packages/serving/hub.ts
+++ b/packages/serving/hub.ts
@@ -1,13 +1,13 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { ChargeBook } from "./charge_book.ts";
-import { CrashBook } from "./crash_book.ts";
-import { ChargeExchange } from "./charge_exchange.ts";
+import { ChargeTotals } from "./charge_totals.ts";
+import { SuspectRegistry } from "./suspect_registry.ts";
+import { ChargeAggregator } from "./charge_aggregator.ts";
 import { DocumentSender } from "./document_sender.ts";
 import { EntryMedians } from "./entry_medians.ts";
 import type { FeedReply } from "./feed_reply.ts";
 import type { FeedRequest } from "./feed_request.ts";
 import type { KnownEntry } from "./known_entry.ts";
-import { LoadBook } from "./load_book.ts";
+import { LoadTotals } from "./load_totals.ts";
 import { OpenEntries } from "./open_entries.ts";
 import { RevisionCounter } from "./revision_counter.ts";
 import type { ReportedSuspect } from "./reported_suspect.ts";
@@ -21,31 +21,33 @@
 import type { UpstreamLoad } from "./upstream_load.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
 import type { ProcessUsage } from "./process_usage.ts";
-import { UsageBook } from "./usage_book.ts";
+import { UsageTotals } from "./usage_totals.ts";
 import type { WorkspaceCounts } from "./workspace_counts.ts";
 
-/** Silence after which callers are no longer sent to an entry. */
-const ENTRY_SILENT_AFTER = 1200;
+/**
+ * Time without a report after which an entry is no longer listed for callers.
+ */
+const ENTRY_TIMEOUT_MS = 1200;
 
-/** Silence after which a closed or lost entry is taken to be gone. */
-const ENTRY_GONE_AFTER = 30_000;
+/** Time without a report after which an entry is removed. */
+const ENTRY_RETENTION_MS = 30_000;
 
-/** Pause between two looks for entries that fell silent. */
+/** Minimum time between two checks for unresponsive entries. */
 const SWEEP_INTERVAL: Milliseconds = 50;
 
-/** An entry as it last reported to this replica. */
+/** The last report of an entry to this replica. */
 type ReportedEntry = {
   readonly boot: string;
   readonly readingSpeeds: Readonly<Record<string, number>>;
   readonly receivedAt: Milliseconds;
-  /** Wall clock of the entry less this process's clock. */
+  /** Wall clock of the entry minus the local clock. */
   readonly wallOffset: Milliseconds;
 };
 
-/** What the hub needs beside its own state for a reply. */
+/** State outside the hub that a reply contains. */
 type ReplyContext = {
   readonly now: Milliseconds;
-  /** The confirmed document, if there is one. */
+  /** The confirmed configuration document, if there is one. */
   readonly document:
     | { readonly version: number; readonly source: string }
     | undefined;
@@ -55,37 +57,42 @@
 };
 
 /**
- * What one control replica passes between entries: which upstreams and
- * entries there are, what is charged and under way. Nothing of it is stored;
- * after a start it fills again from what entries and upstreams say.
+ * The state that one control replica shares between entries: upstreams,
+ * entries, charges and loads. It is held in memory only; after a restart,
+ * reports of entries and upstreams restore it.
  *
  * @public
  */
 export class Hub {
   readonly feed: string;
   readonly #revisions = new RevisionCounter();
-  /** Requests under which upstreams ended, as all entries saw it. */
-  readonly crashes: CrashBook = new CrashBook({
+  /**
+   * Requests that ran on upstreams that crashed, as reported by all entries.
+   */
+  readonly crashes: SuspectRegistry = new SuspectRegistry({
     revisions: this.#revisions,
     countUpstreams: (service) => this.directory.countReady(service),
   });
   readonly #upstreams = new UpstreamFeed(this.#revisions);
   readonly #entries = new Map<string, ReportedEntry>();
-  readonly #medians = new EntryMedians(this.#entries, ENTRY_SILENT_AFTER);
-  readonly #open = new OpenEntries(this.#revisions);
-  readonly #charges = new ChargeExchange(this.#revisions);
-  readonly #loads = new LoadBook(this.#revisions);
-  readonly #readWork = new ChargeBook();
-  readonly #usage = new UsageBook();
-  readonly #documents = new DocumentSender();
+  readonly #medians = new EntryMedians(this.#entries, ENTRY_TIMEOUT_MS);
+  readonly #openEntries = new OpenEntries(this.#revisions);
+  readonly #charges = new ChargeAggregator(this.#revisions);
+  readonly #loads = new LoadTotals(this.#revisions);
+  readonly #prefillWork = new ChargeTotals();
+  readonly #usage = new UsageTotals();
+  readonly #documentSender = new DocumentSender();
   #sweptAt: Milliseconds = -Infinity;
-  /** What is worked out over all entries, until the next sweep. */
+  /** Aggregates over all entries, computed by the last sweep. */
   #shared = {
     quotaShare: 1,
     unheard: [] as readonly string[],
     entryCount: 0,
   };
-  /** Reports that couldn't be taken, as they built on another copy. */
+  /**
+   * Reports that were rejected because they build on other counters than the
+   * recorded ones.
+   */
   #divergences = 0;
 
   constructor(feed: string) {
@@ -100,14 +107,15 @@
     return this.#revisions.value;
   }
 
-  /** How often an entry had to report all its counters again. */
+  /** How often an entry had to send a full report again. */
   get divergences(): number {
     return this.#divergences;
   }
 
   /**
-   * Takes updates of an upstream in, from itself or from another replica, and
-   * says what they brought.
+   * Merges an update that an upstream or another replica sent.
+   *
+   * @returns How the update changed the record.
    */
   mergeUpstream(
     update: UpstreamRecord,
@@ -117,7 +125,7 @@
     return this.#upstreams.merge(update, now, source);
   }
 
-  /** Takes in a heartbeat without change that another replica got. */
+  /** Applies a heartbeat without changes that another replica received. */
   refreshUpstream(
     id: string,
     now: Milliseconds,
@@ -134,9 +142,10 @@
   }
 
   /**
-   * Notes that an upstream has left.
+   * Records that an upstream departed.
    *
-   * @returns The start that left; undefined if it was one before the living.
+   * @returns ID of the departed instance; undefined if an earlier one may be
+   * meant.
    */
   removeUpstream(
     name: string,
@@ -146,34 +155,37 @@
     return this.#upstreams.remove(name, now, born);
   }
 
-  /** Takes an entry's report in and answers it. */
+  /** Merges an entry's report and creates the reply. */
   sync(request: SyncRequest, context: ReplyContext): SyncReply {
     const { now, document, isLeading, controls } = context;
-    const isTaken = this.#mergeReport(request, now);
+    const isAccepted = this.#mergeReport(request, now);
     this.#sweep(now);
-    const from = request.feed === this.feed ? request.revision : 0;
+    const sinceRevision = request.feed === this.feed ? request.revision : 0;
     const { name } = request.entry;
-    const { upstreams, beats, ages } = this.#upstreams.changesSince(from, now);
+    const { upstreams, beats, ages } = this.#upstreams.changesSince(
+      sinceRevision,
+      now,
+    );
     return {
       feed: this.feed,
       revision: this.#revisions.value,
       isLeading,
       upstreams,
       ages,
-      document: this.#documents.documentFor(request, document),
-      ...this.#entriesFor(request, from),
+      document: this.#documentSender.documentFor(request, document),
+      ...this.#entriesFor(request, sinceRevision),
       entryCount: this.#shared.entryCount,
       controls,
-      wall: this.estimateWall(now) ?? request.wall,
-      spentByOthers: this.#charges.sumWithout(
+      wall: this.estimateWallTime(now) ?? request.wall,
+      spentByOthers: this.#charges.sumExcluding(
         name,
-        request.takesChanges ? from : 0,
+        request.takesChanges ? sinceRevision : 0,
       ),
       unheard: this.#shared.unheard,
-      charges: this.#charges.relay(request.wantedCharges ?? [], now),
+      charges: this.#charges.recentReports(request.wantedCharges ?? [], now),
       takesPartial: true,
-      needsWhole: isTaken ? undefined : true,
-      suspects: this.#suspectsSince(from, now),
+      needsWhole: isAccepted ? undefined : true,
+      suspects: this.#suspectsSince(sinceRevision, now),
       shared: request.loads === undefined ? undefined : {
         beats,
         ...this.#loadsFor(request),
@@ -183,21 +195,24 @@
     };
   }
 
-  /** The list of open entries, or what changed of it where that is enough. */
+  /** The list of open entries, or its changes where those suffice. */
   #entriesFor(
     request: SyncRequest,
-    from: number,
+    sinceRevision: number,
   ): Pick<SyncReply, "entries" | "entryChanges"> {
-    // An empty list counts, too: an earlier process may have sent another one.
-    if (from === 0) {
-      return { entries: this.#open.list() };
+    // An empty list is sent, too: the previous process may have sent entries.
+    if (sinceRevision === 0) {
+      return { entries: this.#openEntries.list() };
     }
-    if (this.#open.revision <= from) {
+    if (this.#openEntries.revision <= sinceRevision) {
       return { entries: undefined };
     }
     return request.takesChanges
-      ? { entries: undefined, entryChanges: this.#open.changesSince(from) }
-      : { entries: this.#open.list() };
+      ? {
+        entries: undefined,
+        entryChanges: this.#openEntries.changesSince(sinceRevision),
+      }
+      : { entries: this.#openEntries.list() };
   }
 
   #suspectsSince(
@@ -215,69 +230,72 @@
     const since = request.feed === this.feed ? request.loadsSince ?? 0 : 0;
     return since > 0
       ? {
-        loadsOfOthers: this.#loads.changesWithout(name, since),
+        loadsOfOthers: this.#loads.changesExcluding(name, since),
         areLoadsPartial: true,
       }
-      : { loadsOfOthers: this.#loads.sumWithout(name) };
+      : { loadsOfOthers: this.#loads.sumExcluding(name) };
   }
 
-  /** Answers another replica that has read a feed up to a revision. */
-  answerFeed(
+  /**
+   * Creates the reply to another replica that has read this feed up to a
+   * revision.
+   */
+  createFeedReply(
     { feed, revision }: FeedRequest,
     now: Milliseconds,
   ): FeedReply {
-    const isKnown = feed === this.feed;
+    const isSameFeed = feed === this.feed;
     return {
       feed: this.feed,
       revision: this.revision,
-      ...this.#upstreams.changesSince(isKnown ? revision : 0, now),
-      suspects: this.#suspectsSince(isKnown ? revision : 0, now),
-      // What was kept is sent once to each process that reads this feed.
-      usage: isKnown ? {} : this.recentUsage(),
+      ...this.#upstreams.changesSince(isSameFeed ? revision : 0, now),
+      suspects: this.#suspectsSince(isSameFeed ? revision : 0, now),
+      // Usage is sent once to each process that reads this feed.
+      usage: isSameFeed ? {} : this.recentUsage(),
     };
   }
 
   /**
-   * Takes over what another replica answered.
+   * Merges the feed of another replica.
    *
-   * @returns Upstreams that were not known to leave before.
+   * @returns Upstreams whose departure was unknown before.
    */
-  learnFeed(
+  mergeFeed(
     reply: FeedReply,
     now: Milliseconds,
     { reporter }: { reporter: string },
   ): UpstreamRecord[] {
     const ages = reply.ages ?? {};
-    const leaving: UpstreamRecord[] = [];
+    const departing: UpstreamRecord[] = [];
     for (const record of reply.upstreams) {
       const age = ages[record.id] ?? 0;
       const outcome = this.mergeUpstream(record, now, { reporter, age });
       if (outcome === "changed" && record.state !== "ready") {
-        leaving.push(record);
+        departing.push(record);
       }
     }
     for (const [id, sequence] of Object.entries(reply.beats)) {
       const age = ages[id] ?? 0;
       this.refreshUpstream(id, now, { sequence, reporter, age });
     }
-    this.learnUsage(reply.usage ?? {});
-    this.crashes.learn(reply.suspects ?? [], now);
-    return leaving;
+    this.mergeUsage(reply.usage ?? {});
+    this.crashes.merge(reply.suspects ?? [], now);
+    return departing;
   }
 
   /** Entries that callers may be sent to. */
   listOpenEntries(now: Milliseconds): readonly KnownEntry[] {
     this.#sweep(now);
-    return this.#open.list();
+    return this.#openEntries.list();
   }
 
-  /** The median of the entries' wall clocks, moved on to `now`. */
-  estimateWall(now: Milliseconds): Milliseconds | undefined {
-    return this.#medians.wall(now);
+  /** The median of the entries' wall clocks, extrapolated to `now`. */
+  estimateWallTime(now: Milliseconds): Milliseconds | undefined {
+    return this.#medians.wallTime(now);
   }
 
-  /** What all entries counted for one usage window. */
-  usageOf(window: number): WorkspaceCounts {
+  /** Requests that all entries started in one usage window, by workspace. */
+  usageInWindow(window: number): WorkspaceCounts {
     return this.#usage.sum(window);
   }
 
@@ -286,63 +304,63 @@
     return this.#usage.recent();
   }
 
-  /** Takes in counts that were kept or that another replica passes on. */
-  learnUsage(usage: ProcessUsage): void {
-    this.#usage.learn(usage);
+  /** Merges counts from storage or from another replica. */
+  mergeUsage(usage: ProcessUsage): void {
+    this.#usage.merge(usage);
   }
 
   /**
-   * Time in which the reference engine reads all prompts that entries sent, by
-   * service, in ms.
+   * Prefill time, on the reference engine, of all prompts that entries
+   * forwarded, by service, in ms.
    */
-  totalReadWork(): Record<string, Milliseconds> {
-    return this.#readWork.sumWithout("");
+  totalPrefillWork(): Record<string, Milliseconds> {
+    return this.#prefillWork.sumExcluding("");
   }
 
-  /** What the middle one of the entries in reach measured, by service. */
+  /** Median prefill speed that the reporting entries measured, by service. */
   readingSpeeds(now: Milliseconds): Record<string, number> {
     return this.#medians.readingSpeeds(now);
   }
 
-  /** What all entries have under way, by upstream. */
+  /** Requests in flight at all entries, by upstream. */
   totalLoads(now: Milliseconds): Record<string, UpstreamLoad> {
     this.#sweep(now);
-    return this.#loads.sumWithout("");
+    return this.#loads.sumExcluding("");
   }
 
-  /** Forgets what can't matter any more. */
+  /** Removes state that is past its retention. */
   expire(now: Milliseconds): void {
     this.#upstreams.expire(now);
-    this.#usage.forget();
+    this.#usage.expire();
     this.crashes.expire(now);
-    this.#loads.forget((id) => this.directory.get(id) === undefined);
-    this.#charges.forget(now - ENTRY_GONE_AFTER);
+    this.#loads.removeIdle((id) => this.directory.get(id) === undefined);
+    this.#charges.removeStale(now - ENTRY_RETENTION_MS);
     for (const [name, entry] of this.#entries) {
-      if (now - entry.receivedAt > ENTRY_GONE_AFTER) {
-        this.#readWork.drop(name);
-        this.#open.forget(name);
+      if (now - entry.receivedAt > ENTRY_RETENTION_MS) {
+        this.#prefillWork.remove(name);
+        this.#openEntries.remove(name);
         this.#entries.delete(name);
       }
     }
   }
 
-  /** Drops usage counts of windows that were reported. */
+  /** Removes usage counts of windows that have been settled. */
   dropUsageBefore(window: number): void {
     this.#usage.dropBefore(window);
   }
 
-  /** @returns Whether its counters could be taken. */
+  /** @returns Whether the counters were accepted. */
   #mergeReport(request: SyncRequest, now: Milliseconds): boolean {
     const { entry, isPartial } = request;
     const { name, boot, address, zone, region, isOpen } = entry;
     const { spent, readWork, digest } = request;
-    const isNew = this.#entries.get(name)?.boot !== boot;
-    const hasCharges = this.#charges.receive(
+    const isNewProcess = this.#entries.get(name)?.boot !== boot;
+    const areChargesAccepted = this.#charges.applyReport(
       name,
       { boot, spent, isPartial, digest },
       now,
     );
-    const hasWork = this.#readWork.receive(
+    const isPrefillWorkAccepted = this.#prefillWork.applyReport(
       name,
       { boot, spent: readWork, isPartial },
       now,
@@ -350,7 +368,7 @@
     for (
       const [other, charges] of Object.entries(request.relayedCharges ?? {})
     ) {
-      this.#charges.learn(other, charges, now);
+      this.#charges.applyRelayedReport(other, charges, now);
     }
     this.#entries.set(name, {
       boot,
@@ -358,22 +376,22 @@
       receivedAt: now,
       wallOffset: request.wall - now,
     });
-    if (isNew) {
-      this.#medians.reset();
+    if (isNewProcess) {
+      this.#medians.invalidate();
       this.#sweptAt = -Infinity;
     }
-    this.#open.note({ name, address, zone, region }, isOpen);
+    this.#openEntries.update({ name, address, zone, region }, isOpen);
     if (request.loads !== undefined) {
-      this.#loads.note(name, request.loads);
+      this.#loads.update(name, request.loads);
     }
-    this.#usage.learn({ [boot]: request.usage });
-    this.crashes.learn(request.suspects ?? [], now);
-    const isTaken = hasCharges && hasWork;
-    this.#divergences += isTaken ? 0 : 1;
-    return isTaken;
+    this.#usage.merge({ [boot]: request.usage });
+    this.crashes.merge(request.suspects ?? [], now);
+    const isAccepted = areChargesAccepted && isPrefillWorkAccepted;
+    this.#divergences += isAccepted ? 0 : 1;
+    return isAccepted;
   }
 
-  /** Closes entries that are silent, and sums up who is in reach. */
+  /** Closes unresponsive entries and updates the aggregates. */
   #sweep(now: Milliseconds): void {
     if (now - this.#sweptAt < SWEEP_INTERVAL) {
       return;
@@ -381,17 +399,17 @@
     this.#sweptAt = now;
     let entryCount = 0;
     for (const [name, { receivedAt }] of this.#entries) {
-      if (now - receivedAt >= ENTRY_SILENT_AFTER) {
-        this.#open.close(name);
-        this.#loads.drop(name);
+      if (now - receivedAt >= ENTRY_TIMEOUT_MS) {
+        this.#openEntries.close(name);
+        this.#loads.remove(name);
       } else {
         entryCount += 1;
       }
     }
     this.#shared = {
       entryCount,
-      quotaShare: this.#charges.share(now),
-      unheard: this.#charges.unheard(now),
+      quotaShare: this.#charges.quotaShare(now),
+      unheard: this.#charges.listUnresponsive(now),
     };
   }
 }
--- a/packages/serving/mod.ts
+++ b/packages/serving/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Decisions of request forwarding, without I/O: which route and upstream, what
- * a workspace may spend, what may be sent once more, and what the parts of the
- * system exchange of it.
+ * Decisions of request forwarding, without I/O: routes, choice of upstreams,
+ * quotas and retries, and the state that the parts of the system exchange for
+ * them.
  *
  * @module
  */
@@ -24,8 +24,8 @@
 export type { SharedState } from "./shared_state.ts";
 export type { SyncReply } from "./sync_reply.ts";
 export type { SyncRequest } from "./sync_request.ts";
-export { CrashBook } from "./crash_book.ts";
-export { CrashStanding } from "./crash_standing.ts";
+export { SuspectRegistry } from "./suspect_registry.ts";
+export { SuspectStatus } from "./suspect_status.ts";
 export type { CrashedRun } from "./crashed_run.ts";
 export type { ReportedSuspect } from "./reported_suspect.ts";
 export { RevisionCounter } from "./revision_counter.ts";
@@ -35,8 +35,8 @@
 export type { KnownUpstream } from "./known_upstream.ts";
 export type { MergeOutcome } from "./merge_outcome.ts";
 export type { UpdateSource } from "./update_source.ts";
-export type { RelayedCharges } from "./relayed_charges.ts";
-export type { ReportedCharges } from "./reported_charges.ts";
+export type { RelayedChargeReport } from "./relayed_charge_report.ts";
+export type { ChargeReport } from "./charge_report.ts";
 export type { RecordProblem } from "./record_problem.ts";
 export type { UpstreamLoad } from "./upstream_load.ts";
 export type { UpstreamRecord } from "./upstream_record.ts";
@@ -47,7 +47,7 @@
 export type { WorkspaceCounts } from "./workspace_counts.ts";
 export { ChargeRelay } from "./charge_relay.ts";
 export { CounterReport } from "./counter_report.ts";
-export { exchangePause } from "./exchange_pause.ts";
+export { exchangeInterval } from "./exchange_interval.ts";
 export { findRecordProblem } from "./find_record_problem.ts";
 export { findOverload } from "./find_overload.ts";
 export { findDocumentProblem } from "./find_document_problem.ts";
@@ -56,15 +56,15 @@
 export { IsolatedQuota } from "./isolated_quota.ts";
 export { RunTimes } from "./run_times.ts";
 export { timeNeeded } from "./time_needed.ts";
-export { LIST_KEPT } from "./list_kept.ts";
+export { ENTRY_LIST_LIFETIME } from "./entry_list_lifetime.ts";
 export { median } from "./median.ts";
 export { NoticeThreshold } from "./notice_threshold.ts";
-export { packedDocument } from "./packed_document.ts";
+export { documentCodec } from "./document_codec.ts";
 export { RecentMaximum } from "./recent_maximum.ts";
 export { RetryAllowance } from "./retry_allowance.ts";
 export { RouteKind } from "./route_kind.ts";
 export { RouteTable } from "./route_table.ts";
-export { startId } from "./start_id.ts";
+export { instanceId } from "./instance_id.ts";
 export { UpstreamChoice } from "./upstream_choice.ts";
 export { UpstreamDirectory } from "./upstream_directory.ts";
 export { UsageCounts } from "./usage_counts.ts";
--- a/packages/serving/open_entries.ts
+++ b/packages/serving/open_entries.ts
@@ -3,22 +3,22 @@
 import type { KnownEntry } from "./known_entry.ts";
 import type { RevisionCounter } from "./revision_counter.ts";
 
-/** An entry as it last reported. */
-type ReportingEntry = {
+/** The last report of an entry. */
+type EntryState = {
   readonly entry: KnownEntry;
   readonly isOpen: boolean;
 };
 
 /**
- * Entries that callers may be sent to: those that say so and aren't silent.
- * Whoever follows the list is sent what changed, so that the start of one entry
- * costs each other one some 60 bytes and not the whole list.
+ * Entries that callers may be sent to: those that report themselves open and
+ * aren't unresponsive. Followers receive changes of the list, which are much
+ * smaller than the list.
  *
  * @internal
  */
 export class OpenEntries {
   readonly #revisions: RevisionCounter;
-  readonly #known = new Map<string, ReportingEntry>();
+  readonly #known = new Map<string, EntryState>();
   readonly #changes = new ChangeLog();
   #list: readonly KnownEntry[] | undefined;
   #revision = 0;
@@ -32,18 +32,16 @@
     return this.#revision;
   }
 
-  /** Takes in that an entry reported. */
-  note(entry: KnownEntry, isOpen: boolean): void {
+  update(entry: KnownEntry, isOpen: boolean): void {
     const known = this.#known.get(entry.name);
     const isListed = known?.isOpen === true;
     const hasMoved = isListed && known.entry.address !== entry.address;
     this.#known.set(entry.name, { entry, isOpen });
     if (isOpen !== isListed || hasMoved) {
-      this.#noteChange(entry.name);
+      this.#recordChange(entry.name);
     }
   }
 
-  /** Entries that callers may be sent to. */
   list(): readonly KnownEntry[] {
     this.#list ??= [...this.#known.values()]
       .filter(({ isOpen }) => isOpen)
@@ -51,14 +49,14 @@
     return this.#list;
   }
 
-  /** What changed behind a revision; undefined for nothing. */
+  /** Changes of the list after a revision; undefined if there are none. */
   changesSince(revision: number): EntryChanges | undefined {
     if (this.#revision <= revision) {
       return undefined;
     }
     const opened: KnownEntry[] = [];
     const closed: string[] = [];
-    for (const name of this.#changes.since(revision)) {
+    for (const name of this.#changes.idsSince(revision)) {
       const known = this.#known.get(name);
       if (known?.isOpen) {
         opened.push(known.entry);
@@ -69,27 +67,27 @@
     return { opened, closed };
   }
 
-  /** Takes an entry off the list, as it is silent. */
+  /** Closes an unresponsive entry. */
   close(name: string): void {
     const known = this.#known.get(name);
     if (known?.isOpen) {
       this.#known.set(name, { ...known, isOpen: false });
-      this.#noteChange(name);
+      this.#recordChange(name);
     }
   }
 
   /**
-   * Forgets an entry that is closed. That it closed is kept, for followers that
-   * were cut off meanwhile.
+   * Closes and removes an entry. The change stays in the log for followers that
+   * were partitioned meanwhile.
    */
-  forget(name: string): void {
+  remove(name: string): void {
     this.close(name);
     this.#known.delete(name);
   }
 
-  #noteChange(name: string): void {
+  #recordChange(name: string): void {
     this.#revision = this.#revisions.next();
-    this.#changes.note(name, this.#revision);
+    this.#changes.record(name, this.#revision);
     this.#list = undefined;
   }
 }
--- a/packages/serving/successive_runs.ts
+++ b/packages/serving/successive_runs.ts
@@ -2,32 +2,38 @@
 import type { CrashedRun } from "./crashed_run.ts";
 
 /**
- * Time by which what processes tell each other of one moment may differ: a
- * message's way and the wake-up of a busy process.
+ * Maximum difference between the times at which two processes record the same
+ * event, due to message latency and scheduling.
  */
-const SKEW: Milliseconds = 100;
-/** Ends that are closer together may have had one cause. */
-const APART: Milliseconds = 150;
-/** The same where the later run was sent after the first end was noticed. */
-const APART_AFTER_END: Milliseconds = 20;
+const MAX_EVENT_TIME_SKEW: Milliseconds = 100;
+/** Crashes less than this apart may have a common cause. */
+const MIN_CRASH_INTERVAL: Milliseconds = 150;
+/**
+ * The same where the later run was sent after the earlier crash was detected.
+ */
+const MIN_INTERVAL_AFTER_CRASH: Milliseconds = 20;
 
 /**
- * The runs of a request under which upstreams ended that came one after the
- * other, the first one first. Runs that were under way at the same moment count
- * as one: VMs that are reclaimed together end under all that is there, and a
- * request that many callers send is at many of them.
+ * Selects the crashed runs that followed one another, the earliest first.
+ * Overlapping runs count as one: VMs that are reclaimed together crash under
+ * all requests running there, and copies of a frequent request run on many of
+ * them.
  */
 export function successiveRuns(runs: readonly CrashedRun[]): CrashedRun[] {
-  const byEnd = [...runs].sort((left, right) => left.endedAt - right.endedAt);
+  const byCrashTime = [...runs].sort((left, right) =>
+    left.endedAt - right.endedAt
+  );
   const successive: CrashedRun[] = [];
-  let lastEnd = -Infinity;
-  for (const run of byEnd) {
+  let lastCrashAt = -Infinity;
+  for (const run of byCrashTime) {
     const { sentAt, endedAt } = run;
-    const isLater = sentAt >= lastEnd - SKEW && endedAt >= lastEnd + APART;
-    const isAfter = sentAt >= lastEnd && endedAt >= lastEnd + APART_AFTER_END;
-    if (isLater || isAfter) {
+    const isSeparate = sentAt >= lastCrashAt - MAX_EVENT_TIME_SKEW &&
+      endedAt >= lastCrashAt + MIN_CRASH_INTERVAL;
+    const isSentAfterCrash = sentAt >= lastCrashAt &&
+      endedAt >= lastCrashAt + MIN_INTERVAL_AFTER_CRASH;
+    if (isSeparate || isSentAfterCrash) {
       successive.push(run);
-      lastEnd = endedAt;
+      lastCrashAt = endedAt;
     }
   }
   return successive;
--- a/packages/serving/upstream_feed.ts
+++ b/packages/serving/upstream_feed.ts
@@ -8,14 +8,14 @@
 import type { UpstreamRecord } from "./upstream_record.ts";
 
 /**
- * Ages below are left out. Two hops then hide 1 s at most, less than lies
- * between two heartbeats, and most heartbeats are passed on sooner.
+ * Smaller ages are left out of replies. After two hops this hides at most 1 s,
+ * which is less than the heartbeat interval.
  */
-const LEAST_AGE: Milliseconds = 500;
+const MIN_REPORTED_AGE: Milliseconds = 500;
 
 /**
- * The upstreams that one control replica knows, and what changed of them behind
- * a revision.
+ * The upstreams that one control replica has a record of, and what changed
+ * after a revision.
  *
  * @internal
  */
@@ -23,26 +23,30 @@
   readonly directory = new UpstreamDirectory();
   readonly #revisions: RevisionCounter;
   readonly #received = new ChangeLog();
-  /** Revision at which an upstream last changed, by its identifier. */
+  /** Revision of the last change of an upstream, by instance ID. */
   readonly #changedAt = new Map<string, number>();
 
   constructor(revisions: RevisionCounter) {
     this.#revisions = revisions;
   }
 
-  /** Takes an update in and says what it brought. */
+  /**
+   * Merges an update.
+   *
+   * @returns How the update changed the record.
+   */
   merge(
     update: UpstreamRecord,
     now: Milliseconds,
     source?: UpdateSource,
   ): MergeOutcome {
-    const id = this.directory.startOf(update, now);
+    const id = this.directory.findInstanceId(update, now);
     const outcome = this.directory.merge(update, now, source);
     if (outcome === "late") {
       return outcome;
     }
     const revision = this.#revisions.next();
-    this.#received.note(id, revision);
+    this.#received.record(id, revision);
     if (outcome === "changed" || !this.#changedAt.has(id)) {
       this.#changedAt.set(id, revision);
     }
@@ -50,34 +54,35 @@
   }
 
   /**
-   * Notes that an upstream has left.
+   * Records that an upstream departed.
    *
-   * @returns The start that left; undefined if it was one before the living.
+   * @returns ID of the departed instance; undefined if an earlier one may be
+   * meant.
    */
   remove(
     name: string,
     now: Milliseconds,
     born?: Milliseconds,
   ): string | undefined {
-    const id = this.directory.findLeaving(name, { born, now });
+    const id = this.directory.findDeparted(name, { born, now });
     if (id === undefined) {
       return undefined;
     }
     this.directory.remove(id, now);
     const revision = this.#revisions.next();
-    this.#received.note(id, revision);
+    this.#received.record(id, revision);
     this.#changedAt.set(id, revision);
     return id;
   }
 
-  /** What changed behind a revision; 0 asks for all. */
+  /** Changes after a revision; 0 returns all. */
   changesSince(revision: number, now: Milliseconds): UpstreamChanges {
     const upstreams: UpstreamRecord[] = [];
     const beats: Record<string, number> = {};
     const ages: Record<string, Milliseconds> = {};
-    for (const id of this.#received.since(revision)) {
+    for (const id of this.#received.idsSince(revision)) {
       const known = this.directory.get(id);
-      if (known === undefined || !this.#isPassedOn(known.record)) {
+      if (known === undefined || !this.#isForwarded(known.record)) {
         continue;
       }
       const { record, receivedAt } = known;
@@ -87,24 +92,26 @@
         beats[id] = record.sequence;
       }
       const age = Math.round(now - receivedAt);
-      if (age >= LEAST_AGE) {
+      if (age >= MIN_REPORTED_AGE) {
         ages[id] = age;
       }
     }
     return { upstreams, beats, ages };
   }
 
-  /** An earlier start matters to nobody, but for the word that it leaves. */
-  #isPassedOn({ id, state }: UpstreamRecord): boolean {
-    return state !== "ready" || !this.directory.isOver(id);
+  /**
+   * An instance that isn't the current one is forwarded only when it departs.
+   */
+  #isForwarded({ id, state }: UpstreamRecord): boolean {
+    return state !== "ready" || !this.directory.isReplaced(id);
   }
 
-  /** Forgets upstreams that can't matter any more. */
+  /** Removes upstreams that are past their retention. */
   expire(now: Milliseconds): void {
-    this.directory.forget(now);
+    this.directory.expire(now);
     for (const id of this.#received.ids()) {
       if (this.directory.get(id) === undefined) {
-        this.#received.drop(id);
+        this.#received.remove(id);
         this.#changedAt.delete(id);
       }
     }
--- a/packages/serving/upstream_update.ts
+++ b/packages/serving/upstream_update.ts
@@ -1,31 +1,36 @@
 import type { UpstreamRecord } from "./upstream_record.ts";
 
-/** How what is known of a start and an update of it go together. @internal */
+/** Comparison of a record with an update of the same instance. @internal */
 export const upstreamUpdate = {
   isNewer,
-  isSameBeside,
+  differsOnlyInSequence,
   laterState,
 };
 
-const ORDER = ["ready", "draining", "gone"];
+const STATE_ORDER = ["ready", "draining", "gone"];
 
 function laterState(
   left: UpstreamRecord["state"],
   right: UpstreamRecord["state"],
 ): UpstreamRecord["state"] {
-  return ORDER.indexOf(left) > ORDER.indexOf(right) ? left : right;
+  return STATE_ORDER.indexOf(left) > STATE_ORDER.indexOf(right) ? left : right;
 }
 
-/** Whether two records differ in nothing but the heartbeat's number. */
-function isSameBeside(left: UpstreamRecord, right: UpstreamRecord): boolean {
+/**
+ * Whether two records differ in nothing but the heartbeat's sequence number.
+ */
+function differsOnlyInSequence(
+  left: UpstreamRecord,
+  right: UpstreamRecord,
+): boolean {
   return left.service === right.service && left.address === right.address &&
     left.zone === right.zone && left.slots === right.slots &&
     left.state === right.state && left.isSpot === right.isSpot &&
     left.leavesIn === right.leavesIn;
 }
 
-/** A later state counts even from an older heartbeat. */
-function isNewer(updates: UpstreamRecord, known: UpstreamRecord): boolean {
-  return updates.sequence > known.sequence ||
-    ORDER.indexOf(updates.state) > ORDER.indexOf(known.state);
+/** A later state takes precedence even from an older heartbeat. */
+function isNewer(update: UpstreamRecord, known: UpstreamRecord): boolean {
+  return update.sequence > known.sequence ||
+    STATE_ORDER.indexOf(update.state) > STATE_ORDER.indexOf(known.state);
 }
