--- a/apps/heroncleatd/gateway/attempt.ts
+++ b/apps/heroncleatd/gateway/attempt.ts
@@ -3,7 +3,7 @@
 import {
   type ChosenUpstream,
   CrashStanding,
-  findOverload,
+  overloadRetryDelay,
 } from "@heroncleat/serving";
 import type { CallerRequest } from "./caller_request.ts";
 import type { ForwardContext } from "./forward_context.ts";
@@ -85,11 +85,11 @@
     return { kind: "no_upstream" };
   }
   const overload = options.mayBeRefused
-    ? findOverload({
+    ? overloadRetryDelay({
       waiting: chosen.waiting,
-      reading: chosen.readTime,
+      prefillTime: chosen.readTime,
       objective: call.arrivedAt + call.objective - clock.steady(),
-      isSpeedKnown: chosen.isSpeedKnown,
+      isPrefillSpeedKnown: chosen.isPrefillSpeedKnown,
     })
     : undefined;
   if (overload !== undefined) {
@@ -173,7 +173,7 @@
         hasAnswered = true;
         const took = clock.steady() - sentAt;
         trace.noteFirstByte(took);
-        choice.noteFirstToken(chosen, took);
+        choice.recordFirstToken(chosen, took);
       }
     },
     finish: (ending) => {
@@ -247,7 +247,7 @@
     const now = context.clock.steady();
     const chosen = context.choice.choose(context.directory.list(), {
       now,
-      trusts: context.isSynced(),
+      requiresHeartbeats: context.isSynced(),
       request: {
         service: call.service,
         zone: context.zone,
--- a/apps/heroncleatd/gateway/attempt_trace.ts
+++ b/apps/heroncleatd/gateway/attempt_trace.ts
@@ -35,7 +35,7 @@
     const { upstream, uncachedTokens, fetchedTokens, source } = chosen;
     const facts = [
       `sent_after=${Math.round(sentAfter)}ms`,
-      `expected=${Math.round(chosen.expected)}ms`,
+      `expected=${Math.round(chosen.expectedFirstTokenTime)}ms`,
       `uncached=${uncachedTokens}`,
       `sync_age=${Math.round(syncAge)}ms`,
       `state=${upstream.record.state}`,
--- a/apps/heroncleatd/gateway/charge_sharing.ts
+++ b/apps/heroncleatd/gateway/charge_sharing.ts
@@ -73,11 +73,11 @@
       charges: charges ?? {},
     }, now);
     if (shared === undefined) {
-      quota.learnBeside(feed, spentByOthers, now);
+      quota.applySecondaryCharges(feed, spentByOthers, now);
       return;
     }
     this.#noteShare(shared.quotaShare);
-    quota.learnOthers(feed, {
+    quota.applyCharges(feed, {
       spent: spentByOthers,
       share: shared.quotaShare,
       entries: countEntries(),
@@ -114,9 +114,9 @@
       return;
     }
     broadcast(this.#describeSelf());
-    const learnt = this.#isolated.learnt(countEntries(), clock.steady());
+    const learnt = this.#isolated.quotaUpdate(countEntries(), clock.steady());
     this.#noteShare(learnt.share);
-    quota.learnOthers(DIRECT_SOURCE, learnt);
+    quota.applyCharges(DIRECT_SOURCE, learnt);
   }
 
   /** Whether another entry is in reach and takes callers. */
--- a/apps/heroncleatd/gateway/entry_exchange.ts
+++ b/apps/heroncleatd/gateway/entry_exchange.ts
@@ -8,7 +8,7 @@
   type SyncReply,
   type SyncRequest,
   type UpdateSource,
-  type UpstreamChoice,
+  type UpstreamBalancer,
   type UpstreamDirectory,
   type UpstreamRecord,
   type UsageCounts,
@@ -32,7 +32,7 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly directory: UpstreamDirectory;
-  readonly choice: UpstreamChoice;
+  readonly choice: UpstreamBalancer;
   readonly agents: UpstreamAgents;
   readonly quota: WorkspaceQuota;
   readonly usage: UsageCounts;
@@ -104,14 +104,14 @@
       documentVersion: this.#options.documentVersion(),
       ...known.report.describe(known.feed, {
         spent: quota.spent(),
-        readWork: choice.readWork(),
+        readWork: choice.prefillWork(),
         usage: usage.list(),
       }),
       ...charges.describe(known.feed),
       suspects: listOrNothing(
         book.changesSince(known.suspectsTold, clock.steady()),
       ),
-      readingSpeeds: choice.speeds.measured(),
+      readingSpeeds: choice.prefillSpeeds.measured(),
       loads: known.isPrimary ? choice.loads(clock.steady()) : undefined,
     };
   }
@@ -161,7 +161,7 @@
       this.#entries = entries;
       this.#peers = this.#hostsOf(entries);
     }
-    this.#entryCount.note(entries.length, now);
+    this.#entryCount.record(entries.length, now);
   }
 
   /**
@@ -193,11 +193,11 @@
       directory.refresh(id, now, { sequence, reporter, age });
     }
     if (shared.areLoadsPartial) {
-      choice.learnChangedLoads(shared.loadsOfOthers, now);
+      choice.applyLoadChanges(shared.loadsOfOthers, now);
     } else {
-      choice.learnOthers(shared.loadsOfOthers, now);
+      choice.replaceReportedLoads(shared.loadsOfOthers, now);
     }
-    choice.speeds.learn(shared.readingSpeeds);
+    choice.prefillSpeeds.setReported(shared.readingSpeeds);
   }
 
   #hostsOf(entries: readonly KnownEntry[]): string[] {
--- a/apps/heroncleatd/gateway/forward_call.ts
+++ b/apps/heroncleatd/gateway/forward_call.ts
@@ -173,7 +173,7 @@
       return false;
     }
     const { clock, allowanceOf, countEntries } = this.#context;
-    return allowanceOf(this.#call.service).take(
+    return allowanceOf(this.#call.service).tryConsume(
       clock.steady(),
       countEntries(),
     );
--- a/apps/heroncleatd/gateway/forward_context.ts
+++ b/apps/heroncleatd/gateway/forward_context.ts
@@ -2,8 +2,8 @@
 import type { DispatchNotice } from "@heroncleat/schema";
 import type {
   EngineProfile,
-  RetryAllowance,
-  UpstreamChoice,
+  SharedRetryBudget,
+  UpstreamBalancer,
   UpstreamDirectory,
 } from "@heroncleat/serving";
 import type { Log } from "../common/log.ts";
@@ -21,7 +21,7 @@
   readonly metrics: Metrics;
   /** Own availability zone. */
   readonly zone: string;
-  readonly choice: UpstreamChoice;
+  readonly choice: UpstreamBalancer;
   readonly directory: UpstreamDirectory;
   /** Requests under which upstreams ended. */
   readonly crashes: CrashWatch;
@@ -32,7 +32,7 @@
   /** Notes a prompt that goes to an upstream; others may be sent a notice. */
   readonly noteDispatch: (notice: DispatchNotice) => void;
   readonly agentOf: (upstream: string) => UpstreamAgent;
-  readonly allowanceOf: (service: string) => RetryAllowance;
+  readonly allowanceOf: (service: string) => SharedRetryBudget;
   /** Entries that share the retry allowance. */
   readonly countEntries: () => number;
   /** Whether updates of upstreams reach this entry. */
--- a/apps/heroncleatd/gateway/forward_stream.ts
+++ b/apps/heroncleatd/gateway/forward_stream.ts
@@ -267,7 +267,7 @@
       return false;
     }
     const { clock, allowanceOf, countEntries } = this.#context;
-    return allowanceOf(service).take(clock.steady(), countEntries());
+    return allowanceOf(service).tryConsume(clock.steady(), countEntries());
   }
 
   #describe(outcome: ForwardResult["outcome"]): ForwardResult {
--- a/apps/heroncleatd/gateway/forwarding_test.ts
+++ b/apps/heroncleatd/gateway/forwarding_test.ts
@@ -3,11 +3,11 @@
 import { createSystemClock } from "@heroncleat/base";
 import {
   CrashBook,
-  RetryAllowance,
   RevisionCounter,
   type Route,
   RouteKind,
-  UpstreamChoice,
+  SharedRetryBudget,
+  UpstreamBalancer,
   UpstreamDirectory,
 } from "@heroncleat/serving";
 import fc from "fast-check";
@@ -496,11 +496,11 @@
     closers.push(() => agent.destroy());
   });
   const quiet = { debug() {}, info() {}, warn() {}, error() {} };
-  const allowance = new RetryAllowance({
+  const allowance = new SharedRetryBudget({
     window: 10_000,
     ratio: 1,
-    slack: 99,
-    slackFrom: 0,
+    minRetries: 99,
+    minRetriesFrom: 0,
   });
   const clock = createSystemClock();
   const metrics = { increment() {}, gauge() {}, timing() {}, close() {} };
@@ -524,7 +524,7 @@
       report: () => {},
     }),
     zone: "a",
-    choice: new UpstreamChoice(),
+    choice: new UpstreamBalancer(),
     directory,
     agentOf: (id) => agents.get(id)!,
     allowanceOf: () => allowance,
--- a/apps/heroncleatd/gateway/gateway.ts
+++ b/apps/heroncleatd/gateway/gateway.ts
@@ -204,7 +204,7 @@
         route: route.name,
         workspace: workspace?.name ?? "",
         charge: amount,
-        quotaLeft: Math.round(charged.left),
+        quotaLeft: Math.round(charged.remaining),
         quotaLimit: Math.round(charged.limit),
       });
       return;
@@ -241,13 +241,16 @@
       workspace,
       prompt,
       size: sizeOf(prompt),
-      objective: this.#options.table()!.objectiveOf(route, admitted.service),
+      objective: this.#options.table()!.tightestObjective(
+        route,
+        admitted.service,
+      ),
       arrivedAt,
       until,
       identity: this.#identify(incoming, admitted),
       signal: abort.signal,
     };
-    forwarding.allowanceOf(call.service).countRequest(clock.steady());
+    forwarding.allowanceOf(call.service).recordRequest(clock.steady());
     const forward = route.kind === RouteKind.streaming
       ? forwardStream
       : forwardCall;
--- a/apps/heroncleatd/gateway/leave_deadline.ts
+++ b/apps/heroncleatd/gateway/leave_deadline.ts
@@ -1,9 +1,9 @@
 import type { Clock, Milliseconds } from "@heroncleat/base";
 import {
+  requiredTime,
   type Route,
   RouteKind,
-  RunTimes,
-  timeNeeded,
+  RunDurations,
 } from "@heroncleat/serving";
 
 /** Time before the end of the grace period at which the process ends. */
@@ -30,7 +30,7 @@
  */
 export class LeaveDeadline {
   readonly #clock: Pick<Clock, "steady">;
-  readonly #runTimes = new RunTimes();
+  readonly #runTimes = new RunDurations();
   #gracePeriod: Milliseconds = Infinity;
   #endsAt: Milliseconds = Infinity;
 
@@ -62,7 +62,8 @@
   noteRun({ route, size }: TimedRequest): (isWhole: boolean) => void {
     const startedAt = this.#clock.steady();
     const end = this.#runTimes.begin(route.name, { startedAt, size });
-    return (isWhole) => end({ endedAt: this.#clock.steady(), isWhole });
+    return (isWhole) =>
+      end({ endedAt: this.#clock.steady(), isComplete: isWhole });
   }
 
   /** Whether a request that goes out now comes to its end in time. */
@@ -71,12 +72,12 @@
       return true;
     }
     const now = this.#clock.steady();
-    const longest = this.#runTimes.longest(route.name, { size, now });
+    const longest = this.#runTimes.estimateLongest(route.name, { size, now });
     const isUnknownStream = longest === undefined &&
       route.kind === RouteKind.streaming;
     const needed = isUnknownStream
       ? Math.min(this.#gracePeriod * UNKNOWN_STREAM_SHARE, until - now)
-      : timeNeeded(route, { longest, timeLeft: until - now });
+      : requiredTime(route, { longest, timeLeft: until - now });
     return now + needed <= this.#endsAt;
   }
 }
--- a/apps/heroncleatd/gateway/quota_charging.ts
+++ b/apps/heroncleatd/gateway/quota_charging.ts
@@ -34,7 +34,7 @@
     amount: number,
   ): Promise<ReturnType<WorkspaceQuota["charge"]>> {
     const { quota, clock, refresh, report } = this.#options;
-    if (quota.isOutdated(workspace, { amount, now: clock.steady() })) {
+    if (quota.isStale(workspace, { amount, now: clock.steady() })) {
       await refresh();
     }
     const charged = quota.charge(workspace, { amount, now: clock.steady() });
--- a/apps/heroncleatd/gateway/start_gateway.ts
+++ b/apps/heroncleatd/gateway/start_gateway.ts
@@ -15,10 +15,10 @@
   type KnownEntry,
   NoticeThreshold,
   type ReportedSuspect,
-  RetryAllowance,
   RevisionCounter,
   RouteTable,
-  UpstreamChoice,
+  SharedRetryBudget,
+  UpstreamBalancer,
   UpstreamDirectory,
   UsageCounts,
   WorkspaceQuota,
@@ -99,9 +99,9 @@
   /** Monotonic time from which slack for retries may be used. */
   readonly #slackFrom: Milliseconds;
   readonly #directory = new UpstreamDirectory();
-  readonly #choice = new UpstreamChoice();
+  readonly #choice = new UpstreamBalancer();
   readonly #agents = new UpstreamAgents();
-  readonly #allowances = new Map<string, RetryAllowance>();
+  readonly #allowances = new Map<string, SharedRetryBudget>();
   readonly #crashBook = new CrashBook({
     revisions: new RevisionCounter(),
     countUpstreams: (service) => this.#directory.countReady(service),
@@ -143,7 +143,7 @@
       metrics: options.metrics,
       probe: probeUpstream,
       isOver: (upstream) => this.#directory.isOver(upstream),
-      onEnd: (upstream, at) => this.#choice.noteEnd(upstream, at),
+      onEnd: (upstream, at) => this.#choice.recordCrash(upstream, at),
       report: (news) => this.#reportSuspects(news),
     });
     this.#links = new ControlLinks({
@@ -332,22 +332,22 @@
 
   #noteDispatch(notice: DispatchNotice): void {
     const now = this.#options.clock.steady();
-    if (this.#noticeThreshold.admits(notice.readTime, now)) {
+    if (this.#noticeThreshold.admit(notice.readTime, now)) {
       this.#notices.broadcast(notice);
     }
   }
 
-  #allowanceOf(service: string): RetryAllowance {
+  #allowanceOf(service: string): SharedRetryBudget {
     const known = this.#allowances.get(service);
     if (known !== undefined) {
       return known;
     }
     const { retryRatio, retryWindow, retrySlack } = this.#options.settings();
-    const allowance = new RetryAllowance({
+    const allowance = new SharedRetryBudget({
       ratio: retryRatio,
       window: retryWindow,
-      slack: retrySlack,
-      slackFrom: this.#slackFrom,
+      minRetries: retrySlack,
+      minRetriesFrom: this.#slackFrom,
     });
     this.#allowances.set(service, allowance);
     return allowance;
@@ -375,8 +375,8 @@
   #onNotice(notice: EntryNotice, from: string): void {
     if (notice.kind === "dispatch") {
       const now = this.#options.clock.steady();
-      this.#noticeThreshold.noteReceived(now);
-      this.#choice.learnDispatch(notice, now);
+      this.#noticeThreshold.recordReceived(now);
+      this.#choice.applyDispatchNotice(notice, now);
     } else if (notice.kind === "suspects") {
       this.#crashes.learn(notice.suspects);
     } else {
--- a/apps/heroncleatd/hub/duty_runner.ts
+++ b/apps/heroncleatd/hub/duty_runner.ts
@@ -163,7 +163,7 @@
       this.#plannerOf(service).observe({
         requests: countRequests(service, { upstreams, loads }),
         readWork: readWork[service.name] ?? 0,
-        readingSpeed: speeds[service.name],
+        prefillSpeed: speeds[service.name],
       }, now);
     }
   }
@@ -185,7 +185,7 @@
   #plannerOf(service: Service): FleetPlanner {
     const known = this.#planners.get(service.name);
     if (known !== undefined) {
-      known.follow(service);
+      known.updateService(service);
       return known;
     }
     const { clock, fleet } = this.#options;
@@ -200,7 +200,7 @@
   async #order(order: FleetOrder, planner: FleetPlanner): Promise<void> {
     const holder = this.#holder();
     if (holder === undefined) {
-      planner.noteUnknown(order);
+      planner.recordUnknownOutcome(order);
       return;
     }
     const { calls, clock, log } = this.#options;
@@ -213,11 +213,11 @@
       fencingToken: holder.fencingToken,
     });
     if (outcome === "accepted") {
-      planner.noteAccepted(order);
+      planner.recordAccepted(order);
     } else if (outcome === "refused") {
-      planner.noteRefused(order, clock.steady());
+      planner.recordRefused(order, clock.steady());
     } else if (outcome === "unknown") {
-      planner.noteUnknown(order);
+      planner.recordUnknownOutcome(order);
     }
     this.#noteFenced(outcome, holder);
   }
--- a/apps/heroncleatd/hub/simulated_leaves.ts
+++ b/apps/heroncleatd/hub/simulated_leaves.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds, Random } from "@heroncleat/base";
 import {
   Hub,
-  UpstreamChoice,
+  UpstreamBalancer,
   UpstreamDirectory,
   type UpstreamRecord,
 } from "@heroncleat/serving";
@@ -277,9 +277,9 @@
 
   #use(): void {
     for (const entry of this.#entries.filter((each) => this.#isUp(each))) {
-      const chosen = new UpstreamChoice().choose(entry.directory.list(), {
+      const chosen = new UpstreamBalancer().choose(entry.directory.list(), {
         now: this.#now,
-        trusts: true,
+        requiresHeartbeats: true,
         request: {
           service: "desk",
           zone: "a",
--- a/packages/bench/slopes/simulated_exchange.ts
+++ b/packages/bench/slopes/simulated_exchange.ts
@@ -8,7 +8,7 @@
   Hub,
   type SyncReply,
   type SyncRequest,
-  UpstreamChoice,
+  UpstreamBalancer,
   UpstreamDirectory,
   WorkspaceQuota,
 } from "@heroncleat/serving";
@@ -60,7 +60,7 @@
   usage: Record<string, Record<string, number>>;
   readWork: number;
   directory: UpstreamDirectory;
-  choice: UpstreamChoice;
+  choice: UpstreamBalancer;
   quota: WorkspaceQuota;
 };
 
@@ -157,7 +157,7 @@
   #createState() {
     return {
       directory: new UpstreamDirectory(),
-      choice: new UpstreamChoice(),
+      choice: new UpstreamBalancer(),
       quota: new WorkspaceQuota({
         isFresh: true,
         window: 8000,
@@ -309,11 +309,11 @@
     }
     const loads = shared?.loadsOfOthers ?? {};
     if (shared?.areLoadsPartial) {
-      entry.choice.learnChangedLoads(loads, this.#now);
+      entry.choice.applyLoadChanges(loads, this.#now);
     } else {
-      entry.choice.learnOthers(loads, this.#now);
+      entry.choice.replaceReportedLoads(loads, this.#now);
     }
-    entry.quota.learnOthers(reply.feed, {
+    entry.quota.applyCharges(reply.feed, {
       spent: reply.spentByOthers,
       share: shared?.quotaShare ?? 1,
       entries: this.#entries.length,
--- a/packages/serving/backlog.ts
+++ b/packages/serving/backlog.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from "@heroncleat/base";
 
 /**
- * Work that waits at one upstream, as time until it would be done. Work that
- * is added goes behind what is there; it drains as time passes.
+ * Queued work of one upstream, measured as the time to complete it. Added work
+ * is queued behind the existing work, and the queue drains as time passes.
  *
  * @internal
  */
@@ -13,7 +13,7 @@
     this.#doneAt = Math.max(now, this.#doneAt) + work;
   }
 
-  left(now: Milliseconds): Milliseconds {
+  remaining(now: Milliseconds): Milliseconds {
     return Math.max(0, this.#doneAt - now);
   }
 }
--- /dev/null
+++ b/packages/serving/balanced_request.ts
@@ -0,0 +1,23 @@
+import type { PromptPart } from "./prompt_part.ts";
+import type { EngineProfile } from "./engine_profile.ts";
+
+/** Properties of a request that determine its upstream. @internal */
+export type BalancedRequest = {
+  readonly service: string;
+  readonly zone: string;
+  /** Parts of the prompt in order; empty for plain services. */
+  readonly parts: readonly PromptPart[];
+  /** Tokens of the whole prompt. */
+  readonly promptTokens: number;
+  /** Ids of upstreams that this request must not be sent to. */
+  readonly excluded: ReadonlySet<string>;
+  /** Whether an idle connection to the upstream with this id is open. */
+  readonly isConnected?: (upstream: string) => boolean;
+  /**
+   * Whether to avoid upstreams with other requests, as it may crash its
+   * upstream.
+   */
+  readonly prefersIdle?: boolean;
+  /** Profile of the service's engines; undefined for plain services. */
+  readonly engine?: EngineProfile | undefined;
+};
--- a/packages/serving/caller_limits.ts
+++ b/packages/serving/caller_limits.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** What callers may send, and how long they may take. @public */
+/** Size and time limits for requests of callers. @public */
 export type CallerLimits = {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
--- a/packages/serving/chosen_upstream.ts
+++ b/packages/serving/chosen_upstream.ts
@@ -1,24 +1,25 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { KnownUpstream } from "./known_upstream.ts";
 
-/** A chosen upstream, and the prompt tokens that it has to read. @public */
+/** The upstream chosen for a request, with the estimates behind it. @public */
 export type ChosenUpstream = {
   readonly upstream: KnownUpstream;
+  /** Prompt tokens that the upstream has to prefill. */
   readonly uncachedTokens: number;
-  /** Tokens whose memory comes from `source` instead of being read. */
+  /** Prompt tokens whose KV cache is fetched from `source` instead. */
   readonly fetchedTokens: number;
-  /** Time its engine needs to read the uncached tokens. */
+  /** Prefill time of the uncached tokens. */
   readonly readTime: Milliseconds;
-  /** The same for the reference engine; see `readTime`. */
-  readonly referenceTime: Milliseconds;
-  /** Whether the engines' reading speed was measured, not assumed. */
-  readonly isSpeedKnown: boolean;
-  /** Whether nothing but reading and what waits there delays its answer. */
-  readonly isClear: boolean;
-  /** Time until it has read or fetched what comes before. */
+  /** Prefill time of the uncached tokens on the reference engine. */
+  readonly referencePrefillTime: Milliseconds;
+  /** Whether the prefill speed was measured, not assumed. */
+  readonly isPrefillSpeedKnown: boolean;
+  /** Whether prefill alone, its own and the queued, delays the first token. */
+  readonly hasOnlyPrefillDelay: boolean;
+  /** Time until queued prefill and the fetch are complete. */
   readonly waiting: Milliseconds;
-  /** Time until its first token, as the choice estimates it. */
-  readonly expected: Milliseconds;
-  /** An upstream that holds parts which the chosen one lacks, if known. */
+  /** Estimated time to first token. */
+  readonly expectedFirstTokenTime: Milliseconds;
+  /** Upstream to fetch missing parts from, if any has them. */
   readonly source: KnownUpstream | undefined;
 };
--- a/packages/serving/demand_estimate.ts
+++ b/packages/serving/demand_estimate.ts
@@ -1,60 +1,62 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** Time over which work that comes in is averaged. */
-const AVERAGED_OVER: Milliseconds = 6000;
-/** Time over which the estimate follows a falling load. */
-const FALLS_OVER: Milliseconds = 12_000;
+/** Time constant of the moving average of arriving work. */
+const AVERAGING_WINDOW: Milliseconds = 6000;
+/** Time constant with which the estimate follows a falling load. */
+const DECAY_WINDOW: Milliseconds = 12_000;
 /**
- * Time from which the first work that came in is taken to go on. Without it a
- * load that has just begun counted half after 4 s, and a fleet that lost two
- * zones then was not filled up.
+ * Lower bound of the observation time that the average is divided by, so that a
+ * load which has just begun is neither underestimated nor extrapolated.
  */
-const TRUSTED_AFTER: Milliseconds = 1500;
+const MIN_OBSERVATION_TIME: Milliseconds = 1500;
 
 /**
- * How many engines the prompts of a service keep busy, from a running total of
- * the time they take to read. It follows a rise within seconds and a fall
+ * Estimates how many engines the prompts of a service keep busy, from a running
+ * total of their prefill time. The estimate rises within seconds and falls
  * slowly, as an upstream takes seconds to boot.
  *
  * @internal
  */
 export class DemandEstimate {
   #total: Milliseconds | undefined;
-  #at: Milliseconds = 0;
+  #recordedAt: Milliseconds = 0;
   #average = 0;
-  /** When work came in for the first time. */
-  #startedAt: Milliseconds | undefined;
+  /** When work first arrived. */
+  #firstWorkAt: Milliseconds | undefined;
   #engines = 0;
 
-  /** @param total Time to read all prompts sent so far, in ms. */
-  note(total: Milliseconds, now: Milliseconds): void {
-    const elapsed = now - this.#at;
+  /** @param total Prefill time of all prompts sent so far. */
+  record(total: Milliseconds, now: Milliseconds): void {
+    const elapsed = now - this.#recordedAt;
     if (this.#total === undefined || elapsed <= 0) {
       this.#total ??= total;
-      this.#at = now;
+      this.#recordedAt = now;
       return;
     }
-    // Another source of the total may know less; it counts from there.
+    // A total from another replica may be lower; counting restarts from it.
     const busy = Math.max(0, total - this.#total) / elapsed;
     this.#total = total;
-    this.#at = now;
-    const weight = 1 - Math.exp(-elapsed / AVERAGED_OVER);
+    this.#recordedAt = now;
+    const weight = 1 - Math.exp(-elapsed / AVERAGING_WINDOW);
     this.#average += weight * (busy - this.#average);
-    const kept = this.#engines * Math.exp(-elapsed / FALLS_OVER);
+    const decayed = this.#engines * Math.exp(-elapsed / DECAY_WINDOW);
     if (busy > 0) {
-      this.#startedAt ??= now - elapsed;
+      this.#firstWorkAt ??= now - elapsed;
     }
-    this.#engines = Math.max(this.#average / this.#knownShare(now), kept);
+    this.#engines = Math.max(this.#average / this.#observedShare(now), decayed);
   }
 
-  /** Part of the averaged time in which there was a load at all. */
-  #knownShare(now: Milliseconds): number {
-    const known = Math.max(TRUSTED_AFTER, now - (this.#startedAt ?? now));
-    return 1 - Math.exp(-known / AVERAGED_OVER);
+  /** Share of the averaging window in which there was a load. */
+  #observedShare(now: Milliseconds): number {
+    const observedTime = Math.max(
+      MIN_OBSERVATION_TIME,
+      now - (this.#firstWorkAt ?? now),
+    );
+    return 1 - Math.exp(-observedTime / AVERAGING_WINDOW);
   }
 
-  /** Engines kept busy by reading prompts. */
-  get engines(): number {
+  /** Number of engines that prefill keeps busy. */
+  get busyEngines(): number {
     return this.#engines;
   }
 }
--- a/packages/serving/engine_profile.ts
+++ b/packages/serving/engine_profile.ts
@@ -1,11 +1,11 @@
-/** What is known of the model engines of a service. @public */
+/** Capacities of the model engines of a service. @public */
 export type EngineProfile = {
-  /** Requests that run at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Tokens that fit into the memory of one engine. */
+  /** Tokens that fit into the KV cache of one engine. */
   readonly kvCapacityTokens: number;
   readonly kvTokenBytes: number;
   readonly linkMbps: number;
-  /** Whether a running request can be moved to another engine. */
+  /** Whether a running request can be migrated to another engine. */
   readonly canMove: boolean;
 };
--- a/packages/serving/find_document_problem.ts
+++ b/packages/serving/find_document_problem.ts
@@ -2,51 +2,52 @@
 import type { ServingDocument } from "./serving_document.ts";
 
 /**
- * Says what makes a document invalid, with the remedy; nothing when it may be
- * put in force.
+ * Finds the first problem of a configuration document.
+ *
+ * @returns The problem with its remedy; undefined for a valid document.
  *
  * @public
  */
 export function findDocumentProblem(
   document: ServingDocument,
 ): string | undefined {
-  return findVersionProblem(document) ?? findRouteProblem(document) ??
+  return findVersionProblem(document) ?? findRouteListProblem(document) ??
     findServiceProblem(document) ?? findKeyProblem(document);
 }
 
 function findVersionProblem(document: ServingDocument): string | undefined {
   if (!Number.isSafeInteger(document.version) || document.version < 0) {
-    return "version is not a whole number. Remedy: send a higher one.";
+    return "version is not an integer of 0 or more. Remedy: send a higher one.";
   }
 }
 
-function findRouteProblem(document: ServingDocument): string | undefined {
+function findRouteListProblem(document: ServingDocument): string | undefined {
   const services = new Set(document.services.map((service) => service.name));
-  const places = new Map<string, string>();
+  const routesByLocation = new Map<string, string>();
   for (const route of document.routes) {
-    const place = `${route.host} ${route.pathPrefix}`;
-    const other = places.get(place);
+    const location = `${route.host} ${route.pathPrefix}`;
+    const other = routesByLocation.get(location);
     if (other !== undefined) {
       return `Routes ${other} and ${route.name} share host and prefix. ` +
-        "Remedy: change one of them.";
+        "Remedy: change the host or the prefix of one.";
     }
-    places.set(place, route.name);
-    const problem = findProblemOf(route, services);
+    routesByLocation.set(location, route.name);
+    const problem = findRouteProblem(route, services);
     if (problem !== undefined) {
       return `Route ${route.name}: ${problem}`;
     }
   }
 }
 
-function findProblemOf(
+function findRouteProblem(
   route: Route,
   services: ReadonlySet<string>,
 ): string | undefined {
   if (!route.pathPrefix.startsWith("/") || !route.pathPrefix.endsWith("/")) {
-    return "the prefix lacks a slash. Remedy: begin and end it with one.";
+    return "pathPrefix lacks a slash. Remedy: begin and end it with one.";
   }
   if (!(route.timeout > 0)) {
-    return "the timeout is not above 0. Remedy: give milliseconds.";
+    return "the timeout is not greater than 0. Remedy: set it in milliseconds.";
   }
   let total = 0;
   for (const target of route.targets) {
@@ -54,12 +55,12 @@
       return `service ${target.service} is unknown. Remedy: define it.`;
     }
     if (!(target.weight >= 0)) {
-      return "a weight is negative. Remedy: use 0 or more.";
+      return "a weight is not 0 or more. Remedy: set it to 0 or more.";
     }
     total += target.weight;
   }
   if (!(total > 0)) {
-    return "the weights add up to 0. Remedy: raise one of them.";
+    return "the weights add up to 0. Remedy: set at least one above 0.";
   }
 }
 
@@ -67,7 +68,7 @@
   const names = new Set<string>();
   for (const service of document.services) {
     if (names.has(service.name)) {
-      return `Service ${service.name} stands twice. Remedy: remove one.`;
+      return `Service ${service.name} is defined twice. Remedy: remove one.`;
     }
     names.add(service.name);
   }
@@ -80,7 +81,7 @@
       const other = owners.get(key);
       if (other !== undefined && other !== workspace.name) {
         return `Workspaces ${other} and ${workspace.name} share a key. ` +
-          "Remedy: give each its own.";
+          "Remedy: give each workspace its own keys.";
       }
       owners.set(key, workspace.name);
     }
--- a/packages/serving/fleet_load.ts
+++ b/packages/serving/fleet_load.ts
@@ -1,13 +1,19 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** What the need of a service is estimated from. */
+/** Load from which the required capacity of a service is estimated. */
 export type FleetLoad = {
-  /** Time in which the reference engine reads all prompts so far, in ms. */
+  /** Prefill time of all prompts so far on the reference engine. */
   readonly readWork: Milliseconds;
-  /** Reading time as a multiple of the reference engine's, once measured. */
-  readonly readingSpeed: number | undefined;
-  /** Requests under way at the upstreams of the service. */
+  /**
+   * Prefill time as a multiple of the reference engine's; undefined until
+   * measured.
+   */
+  readonly prefillSpeed: number | undefined;
+  /** Requests in flight at the upstreams of the service. */
   readonly requests: number;
-  /** Requests that one upstream runs at once; undefined without a bound. */
+  /**
+   * Maximum number of concurrent requests of one upstream; undefined if
+   * unlimited.
+   */
   readonly slots: number | undefined;
 };
--- a/packages/serving/fleet_order.ts
+++ b/packages/serving/fleet_order.ts
@@ -1,4 +1,4 @@
-/** How many upstreams of one kind a service is to have in a zone. @public */
+/** Desired number of upstreams of one kind for a service in a zone. @public */
 export type FleetOrder = {
   readonly service: string;
   readonly zone: string;
--- a/packages/serving/fleet_planner.ts
+++ b/packages/serving/fleet_planner.ts
@@ -1,72 +1,72 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { FleetLoad } from "./fleet_load.ts";
-import { FleetNeed } from "./fleet_need.ts";
+import { RequiredCapacity } from "./required_capacity.ts";
 import type { FleetOrder } from "./fleet_order.ts";
 import type { FleetSettings } from "./fleet_settings.ts";
-import { GivenOrders } from "./given_orders.ts";
+import { OrderHistory } from "./order_history.ts";
 import { RecentMaximum } from "./recent_maximum.ts";
 import type { ScaleLimits } from "./scale_limits.ts";
 import type { Service } from "./service.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
 
 /**
- * Part of the need that must be left when the fullest zone is reclaimed. The
- * rest boots within the notice and a second or two more, if it can be ordered;
- * while the control group is split nothing can.
+ * Share of the required capacity that must remain when the zone with most spot
+ * upstreams is reclaimed. The rest can boot soon after the reclaim notice.
  */
 const SECURED_SHARE = 0.8;
-/** Time for which reclaimable upstreams are held for a load that fell. */
-const SPOTS_HELD: Milliseconds = 30_000;
-/** Time for which on-demand upstreams are held that are no longer missing. */
-const FILL_HELD: Milliseconds = 2500;
+/** Time for which spot upstreams are held after the load fell. */
+const SPOT_HOLD_TIME: Milliseconds = 30_000;
 /**
- * Time after a start, or after another process planned, in which the fleet that
- * was found isn't made smaller: by then the load has been measured. A leader
- * that plans without it lets upstreams go under load and cuts their streams.
+ * Time for which on-demand upstreams are held after they are no longer
+ * required.
  */
-const LEARN_FOR: Milliseconds = 8000;
-/** Pause between two plans from which another process may have planned. */
-const TAKEOVER_AFTER: Milliseconds = 1000;
+const ON_DEMAND_HOLD_TIME: Milliseconds = 2500;
+/**
+ * Time after a start or a takeover in which the existing fleet isn't scaled
+ * down. Until the load has been measured, scaling down would remove upstreams
+ * that are in use and break their streams.
+ */
+const WARM_UP_TIME: Milliseconds = 8000;
+/** Pause between two plans after which another process may have planned. */
+const TAKEOVER_TIMEOUT: Milliseconds = 1000;
 
-/** What a plan is made from. */
+/** Inputs of a plan. */
 type PlanOptions = {
   readonly upstreams: readonly UpstreamRecord[];
-  /** Whether the system starts for the first time and saw no request yet. */
+  /** Whether the system is new and has received no request yet. */
   readonly isIdle: boolean;
   readonly now: Milliseconds;
 };
 
-/** What there is of the service in one availability zone. */
+/** Upstreams of the service in one availability zone. */
 type ZoneState = {
   readonly zone: string;
-  /** Reclaimable and on-demand upstreams that take requests. */
+  /** Spot and on-demand upstreams that accept requests. */
   readonly spots: number;
   readonly onDemand: number;
-  /** The same with those that boot. */
-  readonly spotsSoon: number;
-  readonly isRefused: boolean;
+  /** Spot upstreams including those that are booting. */
+  readonly expectedSpots: number;
+  readonly hasRecentRefusal: boolean;
 };
 
 /**
- * Plans how many upstreams of each kind one service holds in each availability
- * zone. Reclaimable ones carry the load, so many that all zones but one bear
- * it. While some zone has fewer, on-demand ones fill in up to the need, and
- * ahead of the next reclaim up to part of it.
- *
- * It answers to days on which zones are reclaimed within seconds of each other
- * and no reclaimable ones are to be had for 12 s or more.
+ * Plans the number of spot and on-demand upstreams of one service in each
+ * availability zone. Spot upstreams carry the load, enough of them that all
+ * zones but one can bear it. When spot upstreams are missing, on-demand ones
+ * replace them up to the required capacity, and secure a share of it against
+ * the reclaim of another zone.
  *
  * @public
  */
 export class FleetPlanner {
   #service: Service;
   readonly #settings: FleetSettings;
-  readonly #need: FleetNeed;
-  readonly #given = new GivenOrders();
-  readonly #spots = new RecentMaximum(0, SPOTS_HELD);
-  readonly #fill = new RecentMaximum(0, FILL_HELD);
-  /** Since when this process plans, or could. */
-  #plansSince: Milliseconds;
+  readonly #requiredCapacity: RequiredCapacity;
+  readonly #orderHistory = new OrderHistory();
+  readonly #spotsPerZone = new RecentMaximum(0, SPOT_HOLD_TIME);
+  readonly #onDemandFill = new RecentMaximum(0, ON_DEMAND_HOLD_TIME);
+  /** When this process began to plan without interruption by another one. */
+  #planningSince: Milliseconds;
   #plannedAt: Milliseconds;
 
   constructor(
@@ -75,61 +75,63 @@
   ) {
     this.#service = service;
     this.#settings = options.settings;
-    this.#need = new FleetNeed(options.settings);
-    this.#plansSince = options.now;
+    this.#requiredCapacity = new RequiredCapacity(options.settings);
+    this.#planningSince = options.now;
     this.#plannedAt = options.now;
   }
 
-  /** Takes in that limits or prices of the service changed. */
-  follow(service: Service): void {
+  /** Applies changed limits or prices of the service. */
+  updateService(service: Service): void {
     this.#service = service;
   }
 
   /**
-   * Takes in the load; processes that may not order do so too, so that one
-   * that takes over knows it.
+   * Records the load. Replicas that don't hold the leader task call this too,
+   * so that they know the load when they take over.
    */
   observe(load: Omit<FleetLoad, "slots">, now: Milliseconds): void {
-    this.#need.note({ ...load, slots: this.#service.engine?.slots }, now);
+    this.#requiredCapacity.record({
+      ...load,
+      slots: this.#service.engine?.slots,
+    }, now);
   }
 
-  /** Orders that are due now. */
+  /** Returns the orders that are due, and records them as sent. */
   plan(options: PlanOptions): FleetOrder[] {
     const { scale } = this.#service;
     if (scale === undefined) {
       return [];
     }
-    this.#notePlan(options.now);
-    const zones = this.#lookAt(scale, options);
+    this.#recordPlan(options.now);
+    const zones = this.#describeZones(scale, options);
     const orders: FleetOrder[] = [];
-    for (const wanted of this.#wanted(zones, { ...options, scale })) {
-      const state = zones.find(({ zone }) => zone === wanted.zone)!;
-      const present = wanted.isSpot ? state.spots : state.onDemand;
+    for (const desired of this.#desiredOrders(zones, { ...options, scale })) {
+      const state = zones.find(({ zone }) => zone === desired.zone)!;
+      const present = desired.isSpot ? state.spots : state.onDemand;
       const { now } = options;
-      if (this.#given.isDue(wanted, { present, now })) {
-        this.#given.note(wanted, { present, now });
-        orders.push(wanted);
+      if (this.#orderHistory.isDue(desired, { present, now })) {
+        this.#orderHistory.record(desired, { present, now });
+        orders.push(desired);
       }
     }
     return orders;
   }
 
-  noteAccepted(order: FleetOrder): void {
-    this.#given.noteAccepted(order);
+  recordAccepted(order: FleetOrder): void {
+    this.#orderHistory.recordAccepted(order);
   }
 
-  /** Notes that an order could not be met. */
-  noteRefused(order: FleetOrder, now: Milliseconds): void {
-    this.#given.noteRefused(order, now);
+  recordRefused(order: FleetOrder, now: Milliseconds): void {
+    this.#orderHistory.recordRefused(order, now);
   }
 
-  /** Notes that it isn't known whether an order was carried out. */
-  noteUnknown(order: FleetOrder): void {
-    this.#given.noteUnknown(order);
+  /** Records that it isn't known whether an order was carried out. */
+  recordUnknownOutcome(order: FleetOrder): void {
+    this.#orderHistory.recordUnknownOutcome(order);
   }
 
-  /** The zones of the service, the cheapest first. */
-  #lookAt(scale: ScaleLimits, options: PlanOptions): ZoneState[] {
+  /** Zones of the service, cheapest first. */
+  #describeZones(scale: ScaleLimits, options: PlanOptions): ZoneState[] {
     const { upstreams, now } = options;
     const { name } = this.#service;
     const zones = Object.keys(scale.zonePrices).sort((left, right) =>
@@ -138,9 +140,9 @@
     return zones.map((zone) => {
       const kind = { service: name, zone, isSpot: true };
       const spots = countReady(upstreams, kind);
-      this.#given.notePresent(kind, spots);
+      this.#orderHistory.recordPresent(kind, spots);
       const { bootTime } = scale;
-      const booting = this.#given.countBooting(kind, {
+      const bootingSpots = this.#orderHistory.countBooting(kind, {
         present: spots,
         bootTime,
         now,
@@ -149,53 +151,56 @@
         zone,
         spots,
         onDemand: countReady(upstreams, { ...kind, isSpot: false }),
-        spotsSoon: spots + booting,
-        isRefused: this.#given.isRefused(kind, now),
+        expectedSpots: spots + bootingSpots,
+        hasRecentRefusal: this.#orderHistory.hasRecentRefusal(kind, now),
       };
     });
   }
 
-  #wanted(
+  #desiredOrders(
     zones: readonly ZoneState[],
     options: PlanOptions & { scale: ScaleLimits },
   ): FleetOrder[] {
     const { scale } = options;
-    const spots = this.#spotsPerZone(zones, options);
+    const spots = this.#countSpotsPerZone(zones, options);
     const onDemand = this.#placeOnDemand(zones, { ...options, spots });
     const service = this.#service.name;
     const orders: FleetOrder[] = [];
     for (const [zone, count] of onDemand) {
       orders.push({ service, zone, isSpot: false, count });
     }
-    for (const [zone, others] of onDemand) {
-      const count = Math.min(spots, scale.max - others);
+    for (const [zone, onDemandCount] of onDemand) {
+      const count = Math.min(spots, scale.max - onDemandCount);
       orders.push({ service, zone, isSpot: true, count });
     }
     return orders;
   }
 
-  /** So many that the load fits into all zones but one. */
-  #spotsPerZone(
+  /**
+   * Number of spot upstreams per zone with which all zones but one bear the
+   * load.
+   */
+  #countSpotsPerZone(
     zones: readonly ZoneState[],
     options: PlanOptions & { scale: ScaleLimits },
   ): number {
     const { scale, isIdle, now } = options;
-    const others = Math.max(1, zones.length - 1);
-    const wanted = isIdle
+    const remainingZones = Math.max(1, zones.length - 1);
+    const desired = isIdle
       ? scale.max * this.#settings.initialShare
-      : this.#need.value / others;
-    const found = this.#isLearning(now)
+      : this.#requiredCapacity.value / remainingZones;
+    const existing = this.#isWarmingUp(now)
       ? Math.max(...zones.map(({ spots }) => spots))
       : 0;
-    const count = Math.max(1, found, Math.ceil(wanted));
-    this.#spots.note(Math.min(scale.max, count), now);
-    return this.#spots.value;
+    const count = Math.max(1, existing, Math.ceil(desired));
+    this.#spotsPerZone.record(Math.min(scale.max, count), now);
+    return this.#spotsPerZone.value;
   }
 
   /**
-   * On-demand upstreams by zone, those that are there first. Before any load
-   * those that were found make room for others, and are let go once these
-   * boot.
+   * Distributes on-demand upstreams over the zones, keeping existing ones
+   * first. Before the first request, existing on-demand upstreams leave room
+   * for spot ones and are released once enough of these boot.
    */
   #placeOnDemand(
     zones: readonly ZoneState[],
@@ -203,70 +208,83 @@
   ): Map<string, number> {
     const { scale, spots, isIdle, now } = options;
     if (isIdle) {
-      const borne = spots * Math.max(1, zones.length - 1);
-      const left = sum(soonIn(zones)) >= borne ? 0 : scale.max - spots;
-      return new Map(zones.map(({ zone }) => [zone, left]));
+      const sufficient = spots * Math.max(1, zones.length - 1);
+      const onDemandPerZone = sum(expectedSpotsByZone(zones)) >= sufficient
+        ? 0
+        : scale.max - spots;
+      return new Map(zones.map(({ zone }) => [zone, onDemandPerZone]));
     }
-    let fill = this.#fillUnderLoad(zones, now);
+    let unplaced = this.#countOnDemandUnderLoad(zones, now);
     const counts = new Map(zones.map(({ zone }) => [zone, 0]));
-    // Where no reclaimable ones are to be had, their places are free.
-    const isDry = zones.some(({ isRefused }) => isRefused);
-    const roomIn = ({ zone, spotsSoon }: ZoneState) =>
-      scale.max - (isDry ? spotsSoon : spots) - counts.get(zone)!;
+    // While no spot upstreams are available, on-demand ones may use their
+    // places.
+    const areSpotsUnavailable = zones.some(({ hasRecentRefusal }) =>
+      hasRecentRefusal
+    );
+    const capacityLeftIn = ({ zone, expectedSpots }: ZoneState) =>
+      scale.max - (areSpotsUnavailable ? expectedSpots : spots) -
+      counts.get(zone)!;
     for (const state of zones) {
-      const count = Math.min(fill, state.onDemand, scale.max - state.spots);
+      const count = Math.min(unplaced, state.onDemand, scale.max - state.spots);
       counts.set(state.zone, count);
-      fill -= count;
+      unplaced -= count;
     }
     for (const state of zones) {
-      const count = Math.max(0, Math.min(fill, roomIn(state)));
+      const count = Math.max(0, Math.min(unplaced, capacityLeftIn(state)));
       counts.set(state.zone, counts.get(state.zone)! + count);
-      fill -= count;
+      unplaced -= count;
     }
     return counts;
   }
 
-  #fillUnderLoad(zones: readonly ZoneState[], now: Milliseconds): number {
-    const need = this.#need.value;
-    this.#fill.note(missingOf(need, soonIn(zones)), now);
+  #countOnDemandUnderLoad(
+    zones: readonly ZoneState[],
+    now: Milliseconds,
+  ): number {
+    const required = this.#requiredCapacity.value;
+    this.#onDemandFill.record(
+      countMissing(required, expectedSpotsByZone(zones)),
+      now,
+    );
     const present = sum(zones.map(({ onDemand }) => onDemand));
-    if (this.#isLearning(now)) {
-      return Math.max(this.#fill.value, present);
+    if (this.#isWarmingUp(now)) {
+      return Math.max(this.#onDemandFill.value, present);
     }
-    // What boots doesn't serve yet, so those that do stay until then.
-    const readyIn = zones.map(({ spots }) => spots);
-    const kept = Math.min(present, missingOf(need, readyIn));
-    return Math.max(this.#fill.value, kept);
+    // Booting upstreams don't serve yet, so present ones are kept until they
+    // do.
+    const readySpots = zones.map(({ spots }) => spots);
+    const kept = Math.min(present, countMissing(required, readySpots));
+    return Math.max(this.#onDemandFill.value, kept);
   }
 
-  #notePlan(now: Milliseconds): void {
-    if (now - this.#plannedAt > TAKEOVER_AFTER) {
-      this.#plansSince = now;
+  #recordPlan(now: Milliseconds): void {
+    if (now - this.#plannedAt > TAKEOVER_TIMEOUT) {
+      this.#planningSince = now;
     }
     this.#plannedAt = now;
   }
 
-  #isLearning(now: Milliseconds): boolean {
-    return now - this.#plansSince < LEARN_FOR;
+  #isWarmingUp(now: Milliseconds): boolean {
+    return now - this.#planningSince < WARM_UP_TIME;
   }
 }
 
-function soonIn(zones: readonly ZoneState[]): number[] {
-  return zones.map(({ spotsSoon }) => spotsSoon);
+function expectedSpotsByZone(zones: readonly ZoneState[]): number[] {
+  return zones.map(({ expectedSpots }) => expectedSpots);
 }
 
 /**
- * Upstreams that are missing beside reclaimable ones: now, and once the zone
- * with most of them is reclaimed.
+ * Number of upstreams missing beside the spot ones, either now or after the
+ * zone with most spot upstreams is reclaimed, whichever is higher.
  */
-function missingOf(need: number, spots: readonly number[]): number {
+function countMissing(required: number, spots: readonly number[]): number {
   const total = sum(spots);
-  const secured = total - Math.max(0, ...spots);
-  // In a single zone nothing but a whole on-demand fleet would be secured.
-  const ahead = spots.length > 1
-    ? Math.ceil(need * SECURED_SHARE) - secured
+  const remaining = total - Math.max(0, ...spots);
+  // With a single zone, securing capacity would take a whole on-demand fleet.
+  const missingAfterReclaim = spots.length > 1
+    ? Math.ceil(required * SECURED_SHARE) - remaining
     : 0;
-  return Math.max(0, need - total, ahead);
+  return Math.max(0, required - total, missingAfterReclaim);
 }
 
 function countReady(
--- a/packages/serving/fleet_settings.ts
+++ b/packages/serving/fleet_settings.ts
@@ -1,12 +1,12 @@
-/** How large a fleet is held. @public */
+/** Sizing of the fleet. @public */
 export type FleetSettings = {
   /**
-   * Reclaimable upstreams in a zone of a system that starts for the first
-   * time, as part of the most that a zone may hold.
+   * Spot upstreams per zone before the first request of a new system, as a
+   * share of the maximum per zone.
    */
   readonly initialShare: number;
-  /** Part of an upstream's time that reading prompts may take. */
+  /** Target share of an upstream's time that is spent on prefill. */
   readonly utilization: number;
-  /** Part of an upstream's slots that requests may take. */
+  /** Target share of an upstream's slots that requests occupy. */
   readonly slotShare: number;
 };
--- a/packages/serving/isolated_quota.ts
+++ b/packages/serving/isolated_quota.ts
@@ -1,30 +1,32 @@
 import type { Milliseconds } from "@heroncleat/base";
 import { ChargeBook } from "./charge_book.ts";
 
-/** Silence after which another entry counts as out of reach. */
-const SILENT_AFTER: Milliseconds = 1000;
+/** Time without a report after which another entry counts as unreachable. */
+const UNRESPONSIVE_TIMEOUT: Milliseconds = 1000;
 
-/** What entries learn of each other's charges, as the quota takes it in. */
-type LearntCharges = {
+/**
+ * Charges of the reachable entries and the share of the quotas they may use.
+ */
+type QuotaUpdate = {
   readonly spent: Readonly<Record<string, number>>;
-  /** Part of all quotas that the entries in reach may use. */
+  /** Share of all quotas that the reachable entries may use. */
   readonly share: number;
-  /** Entries in reach, this one included. */
+  /** Number of reachable entries, including this one. */
   readonly entries: number;
   readonly now: Milliseconds;
 };
 
 /**
- * What an entry that reaches no control replica knows of the others' charges,
- * as they send it directly. Entries that are out of reach may be using their
- * even share of each quota.
+ * Charges that entries report to each other directly while no control replica
+ * is reachable. Unreachable entries may be using their even share of each
+ * quota.
  *
  * @public
  */
 export class IsolatedQuota {
-  readonly #book = new ChargeBook();
-  /** Entries that said they take no callers. */
-  readonly #closed = new Set<string>();
+  readonly #charges = new ChargeBook();
+  /** Entries that reported that they accept no callers. */
+  readonly #closedEntries = new Set<string>();
 
   receive(
     charges: {
@@ -37,26 +39,32 @@
     now: Milliseconds,
   ): void {
     const { entry, boot, spent, isOpen } = charges;
-    this.#book.receive(entry, { boot, spent }, now);
+    this.#charges.receive(entry, { boot, spent }, now);
     if (isOpen) {
-      this.#closed.delete(entry);
+      this.#closedEntries.delete(entry);
     } else {
-      this.#closed.add(entry);
+      this.#closedEntries.add(entry);
     }
   }
 
-  /** Whether an entry is in reach and takes callers. */
+  /** Whether an entry is reachable and accepts callers. */
   isOpen(entry: string, now: Milliseconds): boolean {
-    return !this.#closed.has(entry) &&
-      this.#book.receivedSince(now - SILENT_AFTER).has(entry);
+    return !this.#closedEntries.has(entry) &&
+      this.#charges.receivedSince(now - UNRESPONSIVE_TIMEOUT).has(entry);
   }
 
-  /** @param known Entries at the last reply of a control replica. */
-  learnt(known: number, now: Milliseconds): LearntCharges {
-    const entries = this.#book.receivedSince(now - SILENT_AFTER).size + 1;
+  /**
+   * Returns the update for `WorkspaceQuota.applyCharges`.
+   *
+   * @param knownEntries Number of entries in the last reply of a control
+   * replica.
+   */
+  quotaUpdate(knownEntries: number, now: Milliseconds): QuotaUpdate {
+    const entries =
+      this.#charges.receivedSince(now - UNRESPONSIVE_TIMEOUT).size + 1;
     return {
-      spent: this.#book.sumWithout(""),
-      share: Math.min(1, entries / Math.max(1, known)),
+      spent: this.#charges.sumWithout(""),
+      share: Math.min(1, entries / Math.max(1, knownEntries)),
       entries,
       now,
     };
--- a/packages/serving/leaving_start_test.ts
+++ b/packages/serving/leaving_start_test.ts
@@ -1,6 +1,6 @@
 import { Hub } from "./hub.ts";
 import { startId } from "./start_id.ts";
-import { UpstreamChoice } from "./upstream_choice.ts";
+import { UpstreamBalancer } from "./upstream_balancer.ts";
 import { UpstreamDirectory } from "./upstream_directory.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
 
@@ -51,9 +51,9 @@
 }
 
 function isUsed(directory: UpstreamDirectory, now: number): boolean {
-  const chosen = new UpstreamChoice().choose(directory.list(), {
+  const chosen = new UpstreamBalancer().choose(directory.list(), {
     now,
-    trusts: true,
+    requiresHeartbeats: true,
     request: {
       service: "desk",
       zone: "a",
--- a/packages/serving/notice_threshold.ts
+++ b/packages/serving/notice_threshold.ts
@@ -1,72 +1,74 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** Shorter prompts delay others by less than a message costs each entry. */
-const LEAST: Milliseconds = 10;
 /**
- * Notices a second that an entry should receive at most. Each costs it about
- * 0.1 ms to receive and check, so 60 take 0.6 % of a core, however many entries
- * there are. With notices of all prompts that was proportional to the load of
- * the whole deployment: 243 a second at each of 200 entries.
+ * Shorter prefills delay other requests less than their notices load the
+ * entries.
  */
-const MOST_PER_SECOND = 60;
-/** Time over which notices are counted before the threshold moves. */
-const COUNTED_OVER: Milliseconds = 500;
-/** Most by which the threshold moves at once, up or down. */
-const LARGEST_STEP = 1.3;
+const MIN_THRESHOLD: Milliseconds = 10;
 /**
- * Prompts that take longer keep an engine busy for all and are always noticed.
+ * Maximum rate of notices that an entry should receive. It bounds the processor
+ * time spent on notices independently of the number of entries.
  */
-const MOST: Milliseconds = 2000;
+const MAX_NOTICES_PER_SECOND = 60;
+/** Time over which notices are counted before the threshold is adapted. */
+const COUNTING_WINDOW: Milliseconds = 500;
+/** Maximum factor by which one step raises or lowers the threshold. */
+const MAX_STEP_FACTOR = 1.3;
+/** Longer prefills block an engine for every entry and are always announced. */
+const MAX_THRESHOLD: Milliseconds = 2000;
 
 /**
- * Which dispatches the other entries are sent a notice of: the longest prompts,
- * as many as every entry can take in. All entries receive the same notices, so
- * they raise and lower their thresholds alike without a message.
+ * Decides which dispatches are announced to the other entries: those with the
+ * longest prefill, at a rate that every entry can process. All entries receive
+ * the same notices, so their thresholds adapt alike without coordination.
  *
- * It answers to loads of many entries, where a notice of each prompt costs more
- * than it gains. A few long prompts make most of the collisions: 200 entries
- * that send notices of a third of their prompts bring first tokens within 1.2
- * times the mean of reporting all, and without notices it is 3 times as long.
+ * A few long prompts cause most of the collisions between entries, so with many
+ * entries it suffices to announce these.
  *
  * @public
  */
 export class NoticeThreshold {
-  #threshold: Milliseconds = LEAST;
+  #threshold: Milliseconds = MIN_THRESHOLD;
   #counted = 0;
-  #countedFrom: Milliseconds | undefined;
+  #windowStart: Milliseconds | undefined;
 
-  /** Shortest reading time of which others are notified now. */
+  /** Shortest prefill time that is announced now. */
   get readTime(): Milliseconds {
     return this.#threshold;
   }
 
-  /** Whether others are sent a notice; if so, it counts as one of theirs. */
-  admits(readTime: Milliseconds, now: Milliseconds): boolean {
+  /**
+   * Returns whether to announce a dispatch; if so, it counts towards the rate.
+   */
+  admit(readTime: Milliseconds, now: Milliseconds): boolean {
     this.#adapt(now);
-    const isWorth = readTime >= this.#threshold;
-    this.#counted += isWorth ? 1 : 0;
-    return isWorth;
+    const isAdmitted = readTime >= this.#threshold;
+    this.#counted += isAdmitted ? 1 : 0;
+    return isAdmitted;
   }
 
-  /** Notes that another entry's notice arrived. */
-  noteReceived(now: Milliseconds): void {
+  /** Records a notice of another entry. */
+  recordReceived(now: Milliseconds): void {
     this.#adapt(now);
     this.#counted += 1;
   }
 
   #adapt(now: Milliseconds): void {
-    const from = this.#countedFrom ??= now;
-    const elapsed = now - from;
-    if (elapsed < COUNTED_OVER) {
+    const windowStart = this.#windowStart ??= now;
+    const elapsed = now - windowStart;
+    if (elapsed < COUNTING_WINDOW) {
       return;
     }
-    const most = MOST_PER_SECOND * elapsed / 1000;
-    const step = Math.min(
-      LARGEST_STEP,
-      Math.max(1 / LARGEST_STEP, this.#counted / most),
+    const maxNotices = MAX_NOTICES_PER_SECOND * elapsed / 1000;
+    const factor = Math.min(
+      MAX_STEP_FACTOR,
+      Math.max(1 / MAX_STEP_FACTOR, this.#counted / maxNotices),
+    );
+    this.#threshold = Math.min(
+      MAX_THRESHOLD,
+      Math.max(MIN_THRESHOLD, this.#threshold * factor),
     );
-    this.#threshold = Math.min(MOST, Math.max(LEAST, this.#threshold * step));
     this.#counted = 0;
-    this.#countedFrom = now;
+    this.#windowStart = now;
   }
 }
--- a/packages/serving/notice_threshold_test.ts
+++ b/packages/serving/notice_threshold_test.ts
@@ -1,23 +1,22 @@
 import { NoticeThreshold } from "./mod.ts";
-import { SimulatedChoices } from "./simulated_choices.ts";
+import { SimulatedBalancers } from "./simulated_balancers.ts";
 
-/** Chooses engines at many entries for a while, as the real ones do. */
+/** Simulates entries that choose engines with `UpstreamBalancer`. */
 function simulate(
   entries: number,
   notices: "none" | "all" | "longest",
-): ReturnType<SimulatedChoices["run"]> {
+): ReturnType<SimulatedBalancers["run"]> {
   const sizes = entries === 12
     ? { engines: 13, requestsPerSecond: 43, exchangePause: 150 }
     : { engines: 55, requestsPerSecond: 260, exchangePause: 600 };
-  return new SimulatedChoices({ entries, ...sizes, notices, seed: 1 }).run(9);
+  return new SimulatedBalancers({ entries, ...sizes, notices, seed: 1 }).run(9);
 }
 
-// 81 entries each sent the 80 others a datagram for nearly every prompt, 32,000
-// a second in all, and half of their processor time under load went into
-// receiving and checking these. 200 entries would take twice as many.
+// Guards against notices whose rate grows with the load of the whole deployment
+// and takes up the processor time of the entries.
 describe("notices between entries", () => {
   test(
-    "are no more at 200 entries than each can take in, and serve as well",
+    "stay below the maximum rate at 200 entries without increasing latency much",
     () => {
       const all = simulate(200, "all");
       const longest = simulate(200, "longest");
@@ -26,27 +25,27 @@
       expect(longest.datagramsPerSecond).toBeLessThan(110);
       expect(longest.mean).toBeLessThan(1.2 * all.mean);
       expect(longest.p99).toBeLessThan(1.2 * all.p99);
-      // What a bound by leaving all notices out would cost.
+      // Without any notices the latency is much higher.
       expect(none.mean).toBeGreaterThan(2 * longest.mean);
     },
     120_000,
   );
 
-  test("are those of all prompts where entries are few", () => {
+  test("announce all prompts when there are few entries", () => {
     expect(simulate(12, "longest")).toEqual(simulate(12, "all"));
   });
 
-  test("are of long prompts only while others send many, and of more later", () => {
+  test("announce only long prompts at a high rate, and shorter ones afterwards", () => {
     const threshold = new NoticeThreshold();
     for (let now = 0; now < 10_000; now += 5) {
-      threshold.noteReceived(now);
+      threshold.recordReceived(now);
     }
     expect(threshold.readTime).toBeGreaterThan(200);
-    expect(threshold.admits(100, 10_000)).toBe(false);
-    expect(threshold.admits(100_000, 10_000)).toBe(true);
-    // A step each half a second, and nothing in between.
+    expect(threshold.admit(100, 10_000)).toBe(false);
+    expect(threshold.admit(100_000, 10_000)).toBe(true);
+    // The threshold is adapted once per half second.
     for (let now = 10_000; now < 60_000; now += 500) {
-      threshold.admits(0, now);
+      threshold.admit(0, now);
     }
     expect(threshold.readTime).toBe(10);
   });
--- a/packages/serving/prompt_part.ts
+++ b/packages/serving/prompt_part.ts
@@ -1,2 +1,2 @@
-/** One part of a prompt, in order; parts are cached as a chain. @public */
+/** A part of a prompt, cached together with all parts before it. @public */
 export type PromptPart = { readonly id: string; readonly tokens: number };
--- a/packages/serving/quota_account.ts
+++ b/packages/serving/quota_account.ts
@@ -1,129 +1,129 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { SpendingWindow } from "./spending_window.ts";
+import { SlidingWindowSum } from "./sliding_window_sum.ts";
 
-/** Time over which the spending of others is averaged. */
-const PACE_OVER: Milliseconds = 500;
+/** Time constant of the moving average of the rate of peer charges. */
+const RATE_AVERAGING_WINDOW: Milliseconds = 500;
 
-/** A bucket's size and refill. */
+/** Size and refill rate of a token bucket. */
 type BucketLimit = {
-  /** Most tokens at once. */
+  /** Capacity of the bucket in tokens. */
   readonly burst: number;
-  /** Tokens that come back in a second. */
+  /** Tokens refilled per second. */
   readonly rate: number;
-  /** Part of the refill that may be spent twice without harm. */
-  readonly spare: number;
+  /**
+   * Share of the refill that may be spent twice within the tolerated excess.
+   */
+  readonly spareShare: number;
 };
 
 /**
- * Share of the entries in reach from which the spare part of the refill is
- * handed out: only one side of a partition can have more.
+ * The spare share of the refill is usable with more than this share of the
+ * entries in reach, which only one side of a partition can have.
  */
-const MOST_ENTRIES = 0.5;
+const MAJORITY_SHARE = 0.5;
 
 const SECOND: Milliseconds = 1000;
 
-/** Time for which a refill can be taken back. */
-const DOUBTED_FOR: Milliseconds = 2000;
+/** Time for which a refill can be revoked. */
+const REVOCABLE_WINDOW: Milliseconds = 2000;
 
 /**
- * What all entries spent of one limit, as one entry knows it.
+ * Charges of all entries to one limit, as known to this entry.
  *
- * While some entries are out of reach, only a share of the refill counts, as
- * they may be using theirs. What they really spent is known once they report
- * again, and the rest of the refill counts then. Without that, an entry that
- * had been cut off for 4 s refused its workspace for 10 s and more, and a
- * workspace that asked for six times its usual got 0.7 of its rate from all
- * entries (charges and refusals of one such day, from its log).
+ * While some entries are unreachable, only a share of the refill counts, as
+ * they may be using theirs. Once they report what they spent, the withheld
+ * refill counts as well, so that the workspace regains its full rate after a
+ * partition.
  *
  * @internal
  */
 export class QuotaAccount {
-  readonly window: SpendingWindow;
-  /** Refill of late, as if all of it could be handed out here. */
-  readonly #gained = new SpendingWindow(DOUBTED_FOR);
-  /** Undefined until this entry was asked to charge something. */
+  readonly window: SlidingWindowSum;
+  /** Recent refills at the full rate. */
+  readonly #recentRefills = new SlidingWindowSum(REVOCABLE_WINDOW);
+  /** Undefined until this entry first charges the limit. */
   #bucket: BucketLimit | undefined;
-  /** Tokens in the bucket if others out of reach spend all of their share. */
+  /** Tokens in the bucket if unreachable entries spend their whole share. */
   #level = 0;
-  /** Tokens in the bucket if they spend nothing. */
-  #fullLevel = 0;
-  #filledAt: Milliseconds = 0;
-  /** Tokens that the others spend in a millisecond. */
-  #othersPace = 0;
-  /** Tokens that other sources added since the last whole exchange. */
-  #addedBetween = 0;
-  /** Tokens that this entry took since the last reply. */
-  takenSinceSync = 0;
-
-  /** @param length Time over which spending is judged. */
+  /** Tokens in the bucket if unreachable entries spend nothing. */
+  #optimisticLevel = 0;
+  #refilledAt: Milliseconds = 0;
+  /** Tokens that the other entries spend per millisecond. */
+  #peerRate = 0;
+  /** Tokens reported by secondary sources since the last full exchange. */
+  #secondaryCharges = 0;
+  /** Tokens that this entry consumed since the last full exchange. */
+  consumedSinceSync = 0;
+
+  /** @param length Length of the quota window. */
   constructor(length: Milliseconds) {
-    this.window = new SpendingWindow(length);
+    this.window = new SlidingWindowSum(length);
   }
 
   get isOpen(): boolean {
     return this.#bucket !== undefined;
   }
 
-  /** Starts to keep a bucket. */
-  open(level: number, now: Milliseconds): void {
+  /** Opens the bucket with an initial level. */
+  openBucket(level: number, now: Milliseconds): void {
     this.#level = level;
-    this.#fullLevel = level;
-    this.#filledAt = now;
+    this.#optimisticLevel = level;
+    this.#refilledAt = now;
   }
 
-  /** Notes what was spent; less than nothing gives back. */
+  /** Records spent tokens; a negative amount is a refund. */
   spend(amount: number, now: Milliseconds): void {
     this.window.add(amount, now);
     if (this.isOpen) {
       this.#level -= amount;
-      this.#fullLevel -= amount;
+      this.#optimisticLevel -= amount;
     }
   }
 
-  /** Takes in the bucket's limit, which a configuration may change. */
-  follow(bucket: BucketLimit): void {
+  /** Applies the bucket's limit, which a new configuration may change. */
+  updateLimit(bucket: BucketLimit): void {
     this.#bucket = bucket;
   }
 
   /**
    * Refills the bucket up to now.
    *
-   * @param share Part of the refill that surely isn't spent out of reach.
+   * @param share Share of the refill that unreachable entries can't be
+   * spending.
    */
   refill(now: Milliseconds, share: number): void {
     if (this.#bucket === undefined) {
       return;
     }
-    const { burst, rate, spare } = this.#bucket;
-    const gained = (now - this.#filledAt) * rate / SECOND;
-    const usable = usablePart(share, spare);
-    this.#filledAt = now;
-    this.#gained.add(gained, now);
-    this.#level = Math.min(burst, this.#level + gained * usable);
-    this.#fullLevel += gained;
-    // What others out of reach spend isn't taken off yet.
+    const { burst, rate, spareShare } = this.#bucket;
+    const refilled = (now - this.#refilledAt) * rate / SECOND;
+    const usableRefillShare = usableShare(share, spareShare);
+    this.#refilledAt = now;
+    this.#recentRefills.add(refilled, now);
+    this.#level = Math.min(burst, this.#level + refilled * usableRefillShare);
+    this.#optimisticLevel += refilled;
+    // The charges of unreachable entries haven't been deducted yet.
     if (share >= 1) {
-      this.#fullLevel = Math.min(burst, this.#fullLevel);
+      this.#optimisticLevel = Math.min(burst, this.#optimisticLevel);
     }
   }
 
   /**
-   * Takes back what was refilled for entries that turn out to have been out of
-   * reach: it takes up to a second to find that out, and an entry that was cut
-   * off filled its bucket meanwhile as if nobody else spent anything. It then
-   * spent a quarter of the rate for 5 s in the place of a twelfth, and windows
-   * of simulated loads held up to 1.29 of what is tolerated.
+   * Revokes the refill that belonged to entries which turn out to have been
+   * unreachable. Until their timeout was detected, the bucket was refilled with
+   * their share too.
    *
-   * @param since When they may have reported last.
+   * @param span.since When the unreachable entries may have reported last.
    */
-  takeBack(
+  revokeRefill(
     shares: { readonly before: number; readonly after: number },
     span: { readonly since: Milliseconds; readonly now: Milliseconds },
   ): void {
-    const spare = this.#bucket?.spare ?? 0;
-    const part = usablePart(shares.before, spare) -
-      usablePart(shares.after, spare);
-    this.#level -= part * this.#gained.sumSince(span.since, span.now);
+    const spareShare = this.#bucket?.spareShare ?? 0;
+    const revokedShare = usableShare(shares.before, spareShare) -
+      usableShare(shares.after, spareShare);
+    this.#level -= revokedShare *
+      this.#recentRefills.sumSince(span.since, span.now);
   }
 
   /** Tokens in the bucket at the last refill. */
@@ -132,44 +132,48 @@
   }
 
   /**
-   * Takes in that entries are in reach again, with all that they spent.
+   * Restores withheld refill after entries became reachable and reported their
+   * charges.
    *
-   * @param part Part of those out of reach that are back, from 0 to 1.
+   * @param returnedShare Share of the unreachable entries that returned, 0 to
+   * 1.
    */
-  noteReturn(part: number): void {
+  restoreRefill(returnedShare: number): void {
     const burst = this.#bucket?.burst ?? Infinity;
-    const most = Math.min(burst, this.#fullLevel);
-    this.#level += Math.max(0, most - this.#level) * part;
+    const maxLevel = Math.min(burst, this.#optimisticLevel);
+    this.#level += Math.max(0, maxLevel - this.#level) * returnedShare;
   }
 
-  /** Notes what others spent, as other replicas count it. */
-  noteBetween(amount: number): void {
-    this.#addedBetween += amount;
+  /** Records charges of the other entries that a secondary source reported. */
+  recordSecondaryCharges(amount: number): void {
+    this.#secondaryCharges += amount;
   }
 
   /**
-   * Takes in what others spent by a whole exchange.
+   * Updates the rate of the other entries' charges after a full exchange.
    *
-   * @param elapsed Time since the last whole exchange.
+   * @param elapsed Time since the last full exchange.
    */
-  notePace(amount: number, elapsed: Milliseconds): void {
-    const spent = amount + this.#addedBetween;
-    const kept = Math.exp(-elapsed / PACE_OVER);
-    // Two replies may arrive together, so only the average says something; and
-    // what arrives after a silence was spent over all of it.
-    const over = elapsed < 1 ? PACE_OVER : elapsed / (1 - kept);
-    this.#othersPace = this.#othersPace * kept + spent / over;
-    this.#addedBetween = 0;
-    this.takenSinceSync = 0;
+  recordRate(amount: number, elapsed: Milliseconds): void {
+    const spent = amount + this.#secondaryCharges;
+    const decay = Math.exp(-elapsed / RATE_AVERAGING_WINDOW);
+    // Replies that arrive together are averaged; charges reported after a gap
+    // were spent over the whole gap.
+    const period = elapsed < 1 ? RATE_AVERAGING_WINDOW : elapsed / (1 - decay);
+    this.#peerRate = this.#peerRate * decay + spent / period;
+    this.#secondaryCharges = 0;
+    this.consumedSinceSync = 0;
   }
 
-  /** Tokens that the others will have spent in a silence, by their pace. */
-  forecast(silence: Milliseconds): number {
-    return this.#othersPace * silence;
+  /** Tokens that the other entries are expected to spend in a period. */
+  forecast(elapsed: Milliseconds): number {
+    return this.#peerRate * elapsed;
   }
 }
 
-/** Part of the refill that a side with so much of the entries may hand out. */
-function usablePart(share: number, spare: number): number {
-  return share > MOST_ENTRIES ? Math.min(1, share + spare) : share;
+/**
+ * Share of the refill that entries which reach `share` of all entries may use.
+ */
+function usableShare(share: number, spareShare: number): number {
+  return share > MAJORITY_SHARE ? Math.min(1, share + spareShare) : share;
 }
--- a/packages/serving/quota_charge.ts
+++ b/packages/serving/quota_charge.ts
@@ -1,7 +1,7 @@
-/** What a request was charged to. @public */
+/** A charge of a request to a workspace. @public */
 export type QuotaCharge = {
   readonly workspace: string;
   readonly amount: number;
-  /** Whether it was paid from what is tolerated beyond the quota. */
+  /** Whether it was charged to the tolerated excess instead of the quota. */
   readonly isExcess: boolean;
 };
--- a/packages/serving/quota_limit.ts
+++ b/packages/serving/quota_limit.ts
@@ -1,11 +1,11 @@
-/** How much may be spent of one bucket. @internal */
+/** Limit of one quota bucket. @internal */
 export type QuotaLimit = {
   readonly name: string;
-  /** Tokens in any window. */
+  /** Maximum tokens in any window. */
   readonly tokens: number;
-  /** Most tokens at once, and those that come back in a second. */
+  /** Bucket capacity in tokens, and tokens refilled per second. */
   readonly burst: number;
   readonly rate: number;
-  /** Tokens that a window may hold beyond that without harm. */
-  readonly tolerated: number;
+  /** Tokens by which a window may exceed `tokens`. */
+  readonly toleratedExcess: number;
 };
--- a/packages/serving/quota_limits.ts
+++ b/packages/serving/quota_limits.ts
@@ -4,60 +4,68 @@
 import type { Workspace } from "./workspace.ts";
 
 /**
- * Part of the tolerated excess that may be spent on purpose. The rest covers
- * what entries spend before they learn of each other.
+ * Share of the tolerated excess that requests may be charged to. The rest
+ * covers what entries spend before they receive each other's charges.
  */
-const EXCESS_SHARE = 0.3;
+const USABLE_EXCESS_SHARE = 0.3;
 const SECOND: Milliseconds = 1000;
 const EXCESS_SUFFIX = " excess";
 
-/** What may be judged: how long a window is, and what it may hold beyond. */
-type Judged = Pick<QuotaSettings, "window" | "overshoot" | "tolerance">;
+/** Length of the quota window and its tolerated excess. */
+type WindowSettings = Pick<QuotaSettings, "window" | "overshoot" | "tolerance">;
 
 /**
- * The two limits of a workspace: its quota, and what is tolerated beyond it.
+ * The two limits of a workspace: its quota, and the usable part of the
+ * tolerated excess.
  *
  * @internal
  */
 export const quotaLimits = {
-  quota(workspace: Workspace, judged: Judged): QuotaLimit {
+  quota(workspace: Workspace, windowSettings: WindowSettings): QuotaLimit {
     return {
       name: workspace.name,
-      tokens: windowQuota(workspace, judged),
+      tokens: windowQuota(workspace, windowSettings),
       burst: workspace.burst,
       rate: workspace.rate,
-      tolerated: toleratedOf(workspace, judged),
+      toleratedExcess: toleratedExcessOf(workspace, windowSettings),
     };
   },
 
-  /** @param judged.share Part that this side of the system may hand out. */
+  /**
+   * @param windowSettings.share Share that this side of a partition may use.
+   */
   excess(
     workspace: Workspace,
-    judged: Judged & { readonly share: number },
+    windowSettings: WindowSettings & { readonly share: number },
   ): QuotaLimit {
-    const tokens = EXCESS_SHARE * toleratedOf(workspace, judged);
+    const tokens = USABLE_EXCESS_SHARE *
+      toleratedExcessOf(workspace, windowSettings);
     return {
       name: quotaLimits.excessName(workspace.name),
       tokens,
-      burst: tokens * judged.share,
-      rate: tokens * SECOND / judged.window,
-      tolerated: 0,
+      burst: tokens * windowSettings.share,
+      rate: tokens * SECOND / windowSettings.window,
+      toleratedExcess: 0,
     };
   },
 
-  /** The bucket of what a workspace spends beyond its quota. */
+  /** Name of the bucket for charges of a workspace beyond its quota. */
   excessName(workspace: string): string {
     return `${workspace}${EXCESS_SUFFIX}`;
   },
 };
 
-/** What a window may hold beyond the quota. */
-function toleratedOf(workspace: Workspace, judged: Judged): number {
-  const beside = workspace.countsTokens ? judged.tolerance : 0;
-  return judged.overshoot * windowQuota(workspace, judged) + beside;
+/** Tokens by which a window may exceed the quota. */
+function toleratedExcessOf(
+  workspace: Workspace,
+  windowSettings: WindowSettings,
+): number {
+  const tokenTolerance = workspace.countsTokens ? windowSettings.tolerance : 0;
+  return windowSettings.overshoot * windowQuota(workspace, windowSettings) +
+    tokenTolerance;
 }
 
-/** What a workspace may spend in a window. */
-function windowQuota(workspace: Workspace, { window }: Judged): number {
+/** Tokens that a workspace may spend in a window. */
+function windowQuota(workspace: Workspace, { window }: WindowSettings): number {
   return workspace.rate * window / SECOND + workspace.burst;
 }
--- a/packages/serving/quota_settings.ts
+++ b/packages/serving/quota_settings.ts
@@ -1,13 +1,16 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** How far the quotas may be overrun, and over which time. @public */
+/** Window of the quotas and how far it may be exceeded. @public */
 export type QuotaSettings = {
-  /** Whether the whole system starts with this process, with nothing spent. */
+  /**
+   * Whether this process starts with the whole system, so that nothing is spent
+   * yet.
+   */
   readonly isFresh: boolean;
-  /** Time over which a workspace's spending is judged. */
+  /** Length of the sliding window that bounds a workspace's spending. */
   readonly window: Milliseconds;
-  /** Part of the quota of a window that may be spent beyond it. */
+  /** Tolerated excess as a share of a window's quota. */
   readonly overshoot: number;
-  /** Tokens that may be spent beyond that in a window. */
+  /** Additional tolerated excess of a window in tokens. */
   readonly tolerance: number;
 };
--- a/packages/serving/recent_maximum.ts
+++ b/packages/serving/recent_maximum.ts
@@ -1,26 +1,29 @@
 import type { Milliseconds } from "@heroncleat/base";
 
 /**
- * The largest of the numbers noted lately. A replica that has just started
- * knows few entries for a moment; shares are not to grow by that.
+ * Maximum of the recently recorded values. It bridges short drops, such as the
+ * few entries that a replica has a record of right after its start.
  *
  * @public
  */
 export class RecentMaximum {
-  readonly #kept: Milliseconds;
+  readonly #window: Milliseconds;
   #value: number;
-  #at: Milliseconds = -Infinity;
+  #recordedAt: Milliseconds = -Infinity;
 
-  /** @param start The number before any was noted. @param kept For how long. */
-  constructor(start: number, kept: Milliseconds) {
-    this.#value = start;
-    this.#kept = kept;
+  /**
+   * @param initial Value before the first record.
+   * @param window Time for which a maximum is held against lower values.
+   */
+  constructor(initial: number, window: Milliseconds) {
+    this.#value = initial;
+    this.#window = window;
   }
 
-  note(value: number, now: Milliseconds): void {
-    if (value >= this.#value || now - this.#at > this.#kept) {
+  record(value: number, now: Milliseconds): void {
+    if (value >= this.#value || now - this.#recordedAt > this.#window) {
       this.#value = value;
-      this.#at = now;
+      this.#recordedAt = now;
     }
   }
 
--- a/packages/serving/route.ts
+++ b/packages/serving/route.ts
@@ -1,28 +1,30 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { RouteKind } from "./route_kind.ts";
 
-/** Where requests of one host and path prefix go. @public */
+/** Maps requests of one host and path prefix to services. @public */
 export type Route = {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: typeof RouteKind[keyof typeof RouteKind];
-  /** Services with their shares of the requests; at least one above 0. */
+  /** Services with their relative weights; at least one is above 0. */
   readonly targets: readonly {
     readonly service: string;
     readonly weight: number;
   }[];
-  /** Longest time until a request has its final answer. */
+  /** Maximum time until a request is completed. */
   readonly timeout: Milliseconds;
-  /** Time to the first byte of the body that callers hope for. */
+  /** Target for the time to the first byte of the response body. */
   readonly latencyObjective: Milliseconds;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   readonly priority: number;
-  /** Most upstreams that one attempt of a caller may be sent to. */
+  /**
+   * Maximum number of upstreams that one attempt of a caller may be sent to.
+   */
   readonly maxAttempts: number;
-  /** Whether requests need no key. */
+  /** Whether requests without a key are accepted. */
   readonly isPublic: boolean;
-  /** Whether a stream may be continued at another upstream. */
+  /** Whether a stream may be resumed at another upstream. */
   readonly isResumable: boolean;
 };
--- a/packages/serving/route_table.ts
+++ b/packages/serving/route_table.ts
@@ -5,7 +5,7 @@
 import type { ServingDocument } from "./serving_document.ts";
 import type { Workspace } from "./workspace.ts";
 
-/** Finds the route, service and workspace of a request. @public */
+/** Looks up the route, service and workspace of a request. @public */
 export class RouteTable {
   readonly document: ServingDocument;
   readonly #routes = new Map<string, Map<string, Route>>();
@@ -16,9 +16,9 @@
     this.document = document;
     for (const route of document.routes) {
       const host = route.host.toLowerCase();
-      const prefixes = this.#routes.get(host) ?? new Map<string, Route>();
-      prefixes.set(route.pathPrefix, route);
-      this.#routes.set(host, prefixes);
+      const routesByPrefix = this.#routes.get(host) ?? new Map<string, Route>();
+      routesByPrefix.set(route.pathPrefix, route);
+      this.#routes.set(host, routesByPrefix);
     }
     for (const service of document.services) {
       this.#services.set(service.name, service);
@@ -30,15 +30,15 @@
     }
   }
 
-  /** The route of the host with the longest prefix that begins the path. */
+  /** Returns the route of the host with the longest matching path prefix. */
   findRoute(host: string, path: string): Route | undefined {
-    const prefixes = this.#routes.get(withoutPort(host).toLowerCase());
-    if (prefixes === undefined) {
+    const routesByPrefix = this.#routes.get(withoutPort(host).toLowerCase());
+    if (routesByPrefix === undefined) {
       return undefined;
     }
     let end = path.lastIndexOf("/");
     while (end >= 0) {
-      const route = prefixes.get(path.slice(0, end + 1));
+      const route = routesByPrefix.get(path.slice(0, end + 1));
       if (route !== undefined) {
         return route;
       }
@@ -48,17 +48,18 @@
   }
 
   /**
-   * The tightest objective among the streaming routes to a service that are at
-   * least as urgent as a route. What is refused under load goes by it, so that
-   * no route is served less often than a less urgent one with more time.
+   * Returns the tightest latency objective among a route and the streaming
+   * routes to the same service with at least its priority. Load shedding uses
+   * it, so that a longer objective gives no route an advantage over one of
+   * higher priority.
    */
-  objectiveOf(route: Route, service: string): Milliseconds {
+  tightestObjective(route: Route, service: string): Milliseconds {
     let tightest = route.latencyObjective;
     for (const other of this.document.routes) {
-      const competes = other.kind === RouteKind.streaming &&
+      const isCompeting = other.kind === RouteKind.streaming &&
         other.priority <= route.priority &&
         other.targets.some((target) => target.service === service);
-      if (competes) {
+      if (isCompeting) {
         tightest = Math.min(tightest, other.latencyObjective);
       }
     }
@@ -69,7 +70,7 @@
     return this.#services.get(name);
   }
 
-  /** Whether requests of a route must name a known key. */
+  /** Whether requests of a route require a valid key. */
   needsKey(route: Route): boolean {
     return this.document.workspaces !== undefined && !route.isPublic;
   }
--- a/packages/serving/route_table_test.ts
+++ b/packages/serving/route_table_test.ts
@@ -48,7 +48,7 @@
 describe("the route table", () => {
   const table = new RouteTable(document);
 
-  test("takes the longest prefix of the path, of this host only", () => {
+  test("finds the longest path prefix of the host", () => {
     expect(table.findRoute("inn.example", "/menu/today/x")?.name).toBe("menu");
     expect(table.findRoute("INN.example:80", "/menu/today")?.name).toBe("all");
     expect(table.findRoute("other.example", "/menu/today/")).toBeUndefined();
@@ -62,19 +62,19 @@
   });
 });
 
-describe("a document", () => {
-  const bad: [string, Partial<ServingDocument>, RegExp][] = [
+describe("a configuration document", () => {
+  const invalid: [string, Partial<ServingDocument>, RegExp][] = [
     ["an unknown service", {
       routes: [{ ...route, targets: [{ service: "none", weight: 1 }] }],
     }, /unknown/],
-    ["a place taken twice", {
+    ["two routes with the same host and prefix", {
       routes: [route, { ...route, name: "b" }],
     }, /share host and prefix/],
-    ["weights of 0", {
+    ["only weights of 0", {
       routes: [{ ...route, targets: [{ service: "desk", weight: 0 }] }],
     }, /add up to 0/],
     ["a timeout of 0", { routes: [{ ...route, timeout: 0 }] }, /timeout/],
-    ["a shared key", {
+    ["a key of two workspaces", {
       workspaces: [
         document.workspaces![0]!,
         { ...document.workspaces![0]!, name: "b" },
@@ -82,13 +82,16 @@
     }, /share a key/],
   ];
 
-  test("that is valid has no problem", () => {
+  test("without errors has no problem", () => {
     expect(findDocumentProblem(document)).toBeUndefined();
   });
 
-  test.each(bad)("with %s is refused with the remedy", (_name, part, cause) => {
-    const problem = findDocumentProblem({ ...document, ...part });
-    expect(problem).toMatch(cause);
-    expect(problem).toMatch(/Remedy/);
-  });
+  test.each(invalid)(
+    "with %s is refused with a remedy",
+    (_name, change, message) => {
+      const problem = findDocumentProblem({ ...document, ...change });
+      expect(problem).toMatch(message);
+      expect(problem).toMatch(/Remedy/);
+    },
+  );
 });
--- a/packages/serving/service.ts
+++ b/packages/serving/service.ts
@@ -1,13 +1,13 @@
 import type { ScaleLimits } from "./scale_limits.ts";
 import type { EngineProfile } from "./engine_profile.ts";
 
-/** A group of upstreams that serve the same requests. @public */
+/** A set of interchangeable upstreams. @public */
 export type Service = {
   readonly name: string;
-  /** Connections that one upstream takes from all callers together. */
+  /** Maximum number of connections that one upstream accepts in total. */
   readonly maxConnections: number;
-  /** Present for model engines. */
+  /** Profile of a model engine; undefined for plain services. */
   readonly engine: EngineProfile | undefined;
-  /** Present where the number of upstreams may be ordered. */
+  /** Undefined if the number of upstreams is fixed. */
   readonly scale: ScaleLimits | undefined;
 };
--- a/packages/serving/serving_document.ts
+++ b/packages/serving/serving_document.ts
@@ -4,8 +4,8 @@
 import type { Workspace } from "./workspace.ts";
 
 /**
- * The whole configuration of request forwarding, replaced as one under a
- * version that only rises.
+ * The configuration document of request forwarding, replaced as a whole under a
+ * monotonically increasing version.
  *
  * @public
  */
@@ -13,7 +13,7 @@
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
-  /** Absent when requests need no keys. */
+  /** Undefined if requests require no keys. */
   readonly workspaces: readonly Workspace[] | undefined;
   readonly limits: CallerLimits;
 };
--- /dev/null
+++ b/packages/serving/shared_retry_budget.ts
@@ -0,0 +1,83 @@
+import type { Milliseconds } from "@heroncleat/base";
+
+/** Number of buckets that a window is divided into. */
+const BUCKETS = 10;
+/** Share of the budget that is used, as bucketed windows are inexact. */
+const SAFETY_FACTOR = 0.8;
+
+/** Settings of a retry budget. */
+type RetryBudgetSettings = {
+  readonly window: Milliseconds;
+  /** Retries allowed per request. */
+  readonly ratio: number;
+  /** Additional retries allowed per window, shared by all entries. */
+  readonly minRetries: number;
+  /**
+   * Monotonic time from which this entry may use its share of `minRetries`: one
+   * window after its start, unless the whole system starts with it.
+   */
+  readonly minRetriesFrom: Milliseconds;
+};
+
+/**
+ * Retry budget of one service at this entry. The bound holds over all entries
+ * because each keeps to its share.
+ *
+ * Retries of an earlier process of the entry are unknown and count for another
+ * window. The entry therefore uses its share of the minimum only one window
+ * after its start, so that restarts don't multiply the retries.
+ *
+ * @public
+ */
+export class SharedRetryBudget {
+  readonly #settings: RetryBudgetSettings;
+  readonly #requests = new Array<number>(BUCKETS).fill(0);
+  readonly #retries = new Array<number>(BUCKETS).fill(0);
+  #bucket = 0;
+
+  constructor(settings: RetryBudgetSettings) {
+    this.#settings = settings;
+  }
+
+  recordRequest(now: Milliseconds): void {
+    this.#advance(now);
+    this.#add(this.#requests, 1);
+  }
+
+  /** Consumes one retry; returns whether one was available. */
+  tryConsume(now: Milliseconds, entries: number): boolean {
+    this.#advance(now);
+    const { ratio, minRetries, minRetriesFrom } = this.#settings;
+    const usableMinRetries = now < minRetriesFrom ? 0 : minRetries;
+    const bound = ratio * sum(this.#requests) +
+      usableMinRetries / Math.max(1, entries);
+    if (sum(this.#retries) + 1 > bound * SAFETY_FACTOR) {
+      return false;
+    }
+    this.#add(this.#retries, 1);
+    return true;
+  }
+
+  #advance(now: Milliseconds): void {
+    const bucket = Math.floor(now / (this.#settings.window / BUCKETS));
+    const passed = Math.min(BUCKETS, bucket - this.#bucket);
+    for (let step = 1; step <= passed; step += 1) {
+      this.#requests[(bucket - passed + step) % BUCKETS] = 0;
+      this.#retries[(bucket - passed + step) % BUCKETS] = 0;
+    }
+    this.#bucket = bucket;
+  }
+
+  #add(counts: number[], amount: number): void {
+    const at = this.#bucket % BUCKETS;
+    counts[at] = counts[at]! + amount;
+  }
+}
+
+function sum(counts: readonly number[]): number {
+  let total = 0;
+  for (const count of counts) {
+    total += count;
+  }
+  return total;
+}
--- a/packages/serving/simulated_cloud.ts
+++ b/packages/serving/simulated_cloud.ts
@@ -3,7 +3,6 @@
 import type { Service } from "./service.ts";
 import type { UpstreamRecord } from "./upstream_record.ts";
 
-/** One VM of the simulated cloud. */
 type SimulatedVm = {
   readonly record: UpstreamRecord;
   readonly readyAt: Milliseconds;
@@ -11,31 +10,33 @@
 };
 
 /**
- * A cloud in virtual time, for tests of what the planner does on a whole day:
- * boots, reclaims with a notice, times without reclaimable VMs, the bill.
+ * Simulates a cloud in virtual time for tests of the fleet planner: boots,
+ * reclaims with a notice, periods without spot VMs, and costs.
  *
  * @internal
  */
 export class SimulatedCloud {
   readonly #service: Service;
   #vms: SimulatedVm[] = [];
-  #dryUntil: Milliseconds = -Infinity;
-  #made = 0;
+  #unavailableUntil: Milliseconds = -Infinity;
+  #createdCount = 0;
   #now: Milliseconds = -Infinity;
-  /** Seconds of on-demand VMs at the price of 1, from time 0 on. */
+  /**
+   * Cost from time 0 on; 1 is a second of an on-demand VM at price factor 1.
+   */
   bill = 0;
 
   constructor(service: Service, options: { onDemandAtStart: number }) {
     this.#service = service;
     const zones = Object.keys(service.scale!.zonePrices);
-    for (let made = 0; made < options.onDemandAtStart; made += 1) {
-      const zone = zones[made % zones.length]!;
+    for (let index = 0; index < options.onDemandAtStart; index += 1) {
+      const zone = zones[index % zones.length]!;
       this.#start(zone, { isSpot: false, readyAt: -Infinity });
     }
   }
 
-  /** VMs that take requests now. */
-  get working(): number {
+  /** Number of VMs that are running now. */
+  get runningCount(): number {
     return this.#vms.filter(({ readyAt, endsAt }) =>
       readyAt <= this.#now && this.#now < endsAt
     ).length;
@@ -52,8 +53,8 @@
     }
   }
 
-  /** What has announced itself. */
-  see(now: Milliseconds): { upstreams: UpstreamRecord[] } {
+  /** Upstreams that have sent a heartbeat. */
+  observe(now: Milliseconds): { upstreams: UpstreamRecord[] } {
     const upstreams: UpstreamRecord[] = [];
     for (const { record, readyAt, endsAt } of this.#vms) {
       if (readyAt <= now) {
@@ -64,38 +65,45 @@
     return { upstreams };
   }
 
-  /** Whether an order is met. */
+  /** Executes an order; returns whether it was accepted. */
   order(order: FleetOrder, now: Milliseconds): boolean {
     const { zone, isSpot, count } = order;
     const { max, bootTime } = this.#service.scale!;
     const inZone = this.#vms.filter(({ record, endsAt }) =>
       record.zone === zone && endsAt === Infinity
     );
-    const alike = inZone.filter(({ record }) => record.isSpot === isSpot);
-    for (const vm of alike.slice(count)) {
+    const sameKind = inZone.filter(({ record }) => record.isSpot === isSpot);
+    for (const vm of sameKind.slice(count)) {
       vm.endsAt = now + 1000;
     }
-    const missing = count - alike.length;
+    const missing = count - sameKind.length;
     if (missing <= 0) {
       return true;
     }
-    if (isSpot && now < this.#dryUntil) {
+    if (isSpot && now < this.#unavailableUntil) {
       return false;
     }
-    const room = Math.min(missing, max - inZone.length);
-    for (let made = 0; made < room; made += 1) {
+    const startable = Math.min(missing, max - inZone.length);
+    for (let index = 0; index < startable; index += 1) {
       this.#start(zone, { isSpot, readyAt: now + bootTime });
     }
     return true;
   }
 
-  /** Takes a zone's reclaimable VMs; none are to be had anywhere for a time. */
+  /** Reclaims the spot VMs of a zone; no zone provides spot VMs for a time. */
   reclaim(
     zone: string,
-    options: { now: Milliseconds; notice: Milliseconds; dryFor: Milliseconds },
+    options: {
+      now: Milliseconds;
+      notice: Milliseconds;
+      unavailableFor: Milliseconds;
+    },
   ): void {
-    const { now, notice, dryFor } = options;
-    this.#dryUntil = Math.max(this.#dryUntil, now + dryFor);
+    const { now, notice, unavailableFor } = options;
+    this.#unavailableUntil = Math.max(
+      this.#unavailableUntil,
+      now + unavailableFor,
+    );
     for (const vm of this.#vms) {
       if (vm.record.zone === zone && vm.record.isSpot) {
         vm.endsAt = Math.min(vm.endsAt, now + notice);
@@ -107,16 +115,16 @@
     zone: string,
     options: { isSpot: boolean; readyAt: Milliseconds },
   ): void {
-    this.#made += 1;
+    this.#createdCount += 1;
     this.#vms.push({
       readyAt: options.readyAt,
       endsAt: Infinity,
       record: {
-        id: `vm${this.#made}`,
-        name: `vm${this.#made}`,
+        id: `vm${this.#createdCount}`,
+        name: `vm${this.#createdCount}`,
         born: undefined,
         service: this.#service.name,
-        address: `10.0.0.${this.#made}:80`,
+        address: `10.0.0.${this.#createdCount}:80`,
         zone,
         slots: 64,
         sequence: 1,
--- a/packages/serving/simulated_workspace.ts
+++ b/packages/serving/simulated_workspace.ts
@@ -1,7 +1,7 @@
 import type { Workspace } from "./workspace.ts";
 
 /**
- * A workspace for tests that play its quota: 1,000 tokens a second.
+ * Workspace with 1,000 tokens per second for quota tests.
  *
  * @internal
  */
--- a/packages/serving/spending_window.ts
+++ b/packages/serving/sliding_window_sum.ts
@@ -1,17 +1,17 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** Parts of a window that are dropped one by one. */
+/** Number of slots that a window is divided into. */
 const SLOTS = 40;
 
 /**
- * What was spent within the last so many milliseconds. A part of the window
- * counts until all of it has passed, so that the sum is never too small.
+ * Sum of the amounts in a sliding window, kept by slots. A slot counts until
+ * all of it has left the window, so that the sum is never too small.
  *
  * @internal
  */
-export class SpendingWindow {
+export class SlidingWindowSum {
   readonly #slotLength: Milliseconds;
-  /** Amounts by number of the slot, one slot more than a window is long. */
+  /** Ring buffer of the amounts by slot, one slot longer than the window. */
   readonly #amounts = new Array<number>(SLOTS + 1).fill(0);
   #slot = 0;
   #sum = 0;
@@ -20,7 +20,7 @@
     this.#slotLength = length / SLOTS;
   }
 
-  /** Notes an amount; a negative one takes back what was noted lately. */
+  /** Adds an amount; a negative amount reverts an earlier one. */
   add(amount: number, now: Milliseconds): void {
     this.#advance(now);
     const at = this.#slot % this.#amounts.length;
@@ -33,40 +33,40 @@
     return this.#sum;
   }
 
-  /** What was noted since a moment of this window, whole parts of it. */
+  /** Sum of the amounts since a time in this window, rounded to whole slots. */
   sumSince(since: Milliseconds, now: Milliseconds): number {
     this.#advance(now);
     const count = this.#amounts.length;
-    const first = Math.floor(since / this.#slotLength);
-    const passed = Math.min(count - 1, Math.max(0, this.#slot - first));
+    const firstSlot = Math.floor(since / this.#slotLength);
+    const passed = Math.min(count - 1, Math.max(0, this.#slot - firstSlot));
     let sum = 0;
-    for (let back = 0; back <= passed; back += 1) {
-      sum += this.#amounts[(this.#slot - back + count) % count]!;
+    for (let age = 0; age <= passed; age += 1) {
+      sum += this.#amounts[(this.#slot - age + count) % count]!;
     }
     return sum;
   }
 
-  /** Time until the sum has fallen to a bound; the whole window at most. */
+  /** Time until the sum falls to a bound; at most the whole window. */
   timeUntil(bound: number, now: Milliseconds): Milliseconds {
-    let left = this.sum(now);
+    let remaining = this.sum(now);
     const count = this.#amounts.length;
     for (let step = 1; step <= count; step += 1) {
-      if (left <= bound) {
-        const reached = (this.#slot + step - 1) * this.#slotLength;
-        return Math.max(0, reached - now);
+      if (remaining <= bound) {
+        const reachedAt = (this.#slot + step - 1) * this.#slotLength;
+        return Math.max(0, reachedAt - now);
       }
-      left -= this.#amounts[(this.#slot + step) % count]!;
+      remaining -= this.#amounts[(this.#slot + step) % count]!;
     }
     return (this.#slot + count) * this.#slotLength - now;
   }
 
   /**
-   * Tokens that a bucket holds now which was full a window ago and paid for
-   * all that was spent since.
+   * Replays the window on a token bucket that was full at its start.
    *
-   * @param bucket.rate Tokens that come back in a millisecond.
+   * @param bucket.rate Tokens refilled per millisecond.
+   * @returns The tokens in the bucket now.
    */
-  replay(
+  replayBucket(
     bucket: { readonly burst: number; readonly rate: number },
     now: Milliseconds,
   ): number {
@@ -78,8 +78,8 @@
       const passed = step < count
         ? this.#slotLength
         : now - this.#slot * this.#slotLength;
-      const gained = bucket.rate * passed;
-      level = Math.min(bucket.burst, level + gained) - spent;
+      const refilled = bucket.rate * passed;
+      level = Math.min(bucket.burst, level + refilled) - spent;
     }
     return level;
   }
--- a/packages/serving/spending_window_test.ts
+++ b/packages/serving/sliding_window_sum_test.ts
@@ -1,7 +1,7 @@
-import { SpendingWindow } from "./spending_window.ts";
+import { SlidingWindowSum } from "./sliding_window_sum.ts";
 
-test("a spending window sums from a moment on, whole slots of it", () => {
-  const window = new SpendingWindow(2000);
+test("a sliding window sum rounds the start of a partial sum to whole slots", () => {
+  const window = new SlidingWindowSum(2000);
   for (let now = 0; now <= 3000; now += 100) {
     window.add(1, now);
   }
--- /dev/null
+++ b/packages/serving/upstream_balancer.ts
@@ -0,0 +1,383 @@
+import type { Milliseconds } from "@heroncleat/base";
+import type { DispatchNotice } from "@heroncleat/schema";
+import { PrefixCacheEstimate } from "./prefix_cache_estimate.ts";
+import { Backlog } from "./backlog.ts";
+import type { BalancedRequest } from "./balanced_request.ts";
+import type { ChosenUpstream } from "./chosen_upstream.ts";
+import { PreferredUpstreams } from "./preferred_upstreams.ts";
+import type { PromptPart } from "./prompt_part.ts";
+import { planKvFetch } from "./plan_kv_fetch.ts";
+import { prefillTime } from "./prefill_time.ts";
+import { PrefillSpeeds } from "./prefill_speeds.ts";
+import type { KnownUpstream } from "./known_upstream.ts";
+import type { UpstreamLoad } from "./upstream_load.ts";
+
+/**
+ * Time without a heartbeat after which an upstream is lost; several intervals.
+ */
+const UNRESPONSIVE_TIMEOUT: Milliseconds = 5000;
+/**
+ * Time for which an upstream is avoided after a failure that it may have
+ * caused.
+ */
+const FAILURE_BACKOFF: Milliseconds = 1500;
+/** Delay of a first token per running request. */
+const RUNNING_REQUEST_COST: Milliseconds = 1.2;
+/** Cost per request beyond the slots of an upstream. */
+const QUEUED_REQUEST_COST: Milliseconds = 60;
+/**
+ * Cost of a new connection: its handshake, and upstreams limit their number.
+ */
+const CONNECTION_COST: Milliseconds = 4;
+/**
+ * Cost per running request for a request that may crash its upstream, as the
+ * others would fail with it.
+ */
+const CRASH_EXPOSURE_COST: Milliseconds = 200;
+/** Cost of sending a request to another availability zone. */
+const CROSS_ZONE_COST: Milliseconds = 1.5;
+/** Minimum time until the departure of an upstream that is fetched from. */
+const FETCH_MARGIN: Milliseconds = 500;
+
+/** An eligible upstream; the one with the lowest cost is chosen. */
+type Candidate = ChosenUpstream & { readonly cost: Milliseconds };
+
+/** Load of the other entries at an upstream, and when it was reported. */
+type ReportedLoad = UpstreamLoad & { readonly at: Milliseconds };
+
+/** State of one upstream as seen by this entry, apart from heartbeats. */
+type LocalView = {
+  requests: number;
+  pausedUntil: Milliseconds;
+  /** Latest detected crash; only later heartbeats show that it is running. */
+  crashedAt: Milliseconds;
+  /** Prefill backlog of this entry, and of all entries as far as known. */
+  readonly ownBacklog: Backlog;
+  readonly backlog: Backlog;
+  readonly cache: PrefixCacheEstimate;
+};
+
+/** Inputs of a choice. */
+type ChoiceOptions = {
+  readonly request: BalancedRequest;
+  readonly now: Milliseconds;
+  /** Whether upstreams without recent heartbeats are excluded. */
+  readonly requiresHeartbeats: boolean;
+};
+
+/**
+ * Chooses the upstream with the lowest estimated time to first token for a
+ * request, based on cached prompt parts, the prefill backlog and running
+ * requests. New parts are assigned to preferred upstreams by rendezvous
+ * hashing, so that all entries agree on them without coordination.
+ *
+ * @public
+ */
+export class UpstreamBalancer {
+  readonly #localViews = new Map<string, LocalView>();
+  /** Loads of the other entries by upstream. */
+  readonly #reportedLoads = new Map<string, ReportedLoad>();
+  readonly #prefillWork = new Map<string, Milliseconds>();
+  readonly prefillSpeeds = new PrefillSpeeds();
+
+  /** Replaces the loads of the other entries. */
+  replaceReportedLoads(
+    loads: Readonly<Record<string, UpstreamLoad>>,
+    at: Milliseconds,
+  ): void {
+    this.#reportedLoads.clear();
+    this.applyLoadChanges(loads, at);
+  }
+
+  /** Applies changed loads of the other entries; an empty load is removed. */
+  applyLoadChanges(
+    loads: Readonly<Record<string, UpstreamLoad>>,
+    at: Milliseconds,
+  ): void {
+    for (const [id, load] of Object.entries(loads)) {
+      if (load.requests === 0 && load.backlog === 0) {
+        this.#reportedLoads.delete(id);
+      } else {
+        this.#reportedLoads.set(id, { ...load, at });
+      }
+    }
+  }
+
+  /** Loads of this entry by upstream. */
+  loads(now: Milliseconds): Record<string, UpstreamLoad> {
+    const loads: Record<string, UpstreamLoad> = {};
+    for (const [id, { requests, ownBacklog }] of this.#localViews) {
+      if (requests > 0) {
+        loads[id] = {
+          requests,
+          backlog: Math.round(ownBacklog.remaining(now)),
+        };
+      }
+    }
+    return loads;
+  }
+
+  /**
+   * Total prefill time, on the reference engine, of the prompts that this
+   * process sent, by service.
+   */
+  prefillWork(): Record<string, Milliseconds> {
+    return Object.fromEntries(this.#prefillWork);
+  }
+
+  /** Records the time to first token at a chosen upstream. */
+  recordFirstToken(chosen: ChosenUpstream, took: Milliseconds): void {
+    if (chosen.hasOnlyPrefillDelay && chosen.referencePrefillTime > 0) {
+      const reference = chosen.referencePrefillTime;
+      const { service } = chosen.upstream.record;
+      this.prefillSpeeds.forService(service).record({ reference, took });
+    }
+  }
+
+  /** Applies a notice that another entry dispatched a prompt. */
+  applyDispatchNotice(notice: DispatchNotice, now: Milliseconds): void {
+    const view = this.#view(notice.upstream);
+    view.backlog.add(notice.readTime, now);
+    view.cache.addTokens(notice.tokens);
+    for (const part of notice.parts) {
+      view.cache.recordPart(part, now + view.backlog.remaining(now));
+    }
+  }
+
+  choose(
+    upstreams: Iterable<KnownUpstream>,
+    options: ChoiceOptions,
+  ): ChosenUpstream | undefined {
+    const allUpstreams = [...upstreams];
+    const eligible = allUpstreams.filter((upstream) =>
+      this.#isEligible(upstream, options)
+    );
+    const sources = this.#findSources(allUpstreams, options);
+    const preferredUpstreams = new PreferredUpstreams(
+      lastSharedPart(options.request),
+      eligible,
+    );
+    let best: Candidate | undefined;
+    for (const upstream of eligible) {
+      const candidate = this.#evaluate(upstream, {
+        ...options,
+        sources,
+        preferredUpstreams,
+      });
+      if (best === undefined || candidate.cost < best.cost) {
+        best = candidate;
+      }
+    }
+    return best;
+  }
+
+  /**
+   * Records that a request is about to be sent.
+   *
+   * @returns The notice for the other entries.
+   */
+  begin(
+    chosen: ChosenUpstream,
+    options: { parts: readonly PromptPart[]; now: Milliseconds },
+  ): DispatchNotice {
+    const { parts, now } = options;
+    const upstream = chosen.upstream.record.id;
+    const tokens = chosen.uncachedTokens + chosen.fetchedTokens;
+    const view = this.#view(upstream);
+    view.requests += 1;
+    view.ownBacklog.add(chosen.readTime, now);
+    view.backlog.add(chosen.readTime, now);
+    view.cache.addTokens(tokens);
+    const { service } = chosen.upstream.record;
+    const previousWork = this.#prefillWork.get(service) ?? 0;
+    this.#prefillWork.set(
+      service,
+      previousWork + Math.round(chosen.referencePrefillTime),
+    );
+    for (const part of parts) {
+      view.cache.recordPart(part.id, now + view.backlog.remaining(now));
+    }
+    const shared = parts.slice(0, -1).map(({ id }) => id);
+    return {
+      kind: "dispatch",
+      upstream,
+      readTime: chosen.readTime,
+      tokens,
+      parts: shared,
+    };
+  }
+
+  /** Records the end of a request. */
+  end(chosen: ChosenUpstream): void {
+    this.#view(chosen.upstream.record.id).requests -= 1;
+  }
+
+  /** Excludes an upstream for the failure backoff. */
+  pause(id: string, now: Milliseconds): void {
+    this.#view(id).pausedUntil = now + FAILURE_BACKOFF;
+  }
+
+  /** Excludes a crashed upstream until its next heartbeat. */
+  recordCrash(id: string, at: Milliseconds): void {
+    const view = this.#view(id);
+    view.crashedAt = Math.max(view.crashedAt, at);
+  }
+
+  forget(id: string): void {
+    this.#localViews.delete(id);
+  }
+
+  #evaluate(
+    upstream: KnownUpstream,
+    options: ChoiceOptions & {
+      sources: readonly KnownUpstream[];
+      preferredUpstreams: PreferredUpstreams;
+    },
+  ): Candidate {
+    const { request, now, preferredUpstreams } = options;
+    const { id, slots, zone } = upstream.record;
+    const capacity = request.engine?.kvCapacityTokens;
+    const cached = this.#localViews.get(id)?.cache
+      .countCachedTokens(request.parts, capacity) ?? 0;
+    const shared = request.parts.slice(0, -1);
+    const { source, fetchedTokens, fetchTime } = planKvFetch(upstream, {
+      sources: options.sources,
+      shared,
+      cached:
+        this.#localViews.get(id)?.cache.countCachedTokens(shared, capacity) ??
+          0,
+      engine: request.engine,
+    });
+    const uncachedTokens = Math.max(
+      0,
+      request.promptTokens - cached - fetchedTokens,
+    );
+    const referencePrefillTime = prefillTime(
+      uncachedTokens,
+      cached + fetchedTokens,
+    );
+    const prefillSpeed = this.prefillSpeeds.forService(request.service);
+    const estimatedPrefillTime = referencePrefillTime * prefillSpeed.multiple;
+    const requests = this.#countRequests(id);
+    const queued = Math.max(0, requests + 1 - slots);
+    const waiting = Math.max(this.#estimateBacklog(id, now), fetchTime);
+    const expectedFirstTokenTime = waiting + estimatedPrefillTime +
+      requests * RUNNING_REQUEST_COST +
+      queued * QUEUED_REQUEST_COST;
+    const crashExposureCost = request.prefersIdle
+      ? requests * CRASH_EXPOSURE_COST
+      : 0;
+    const zoneCost = zone === request.zone ? 0 : CROSS_ZONE_COST;
+    const connectionCost = request.isConnected?.(id) === false
+      ? CONNECTION_COST
+      : 0;
+    return {
+      upstream,
+      uncachedTokens,
+      fetchedTokens,
+      readTime: estimatedPrefillTime,
+      referencePrefillTime,
+      isPrefillSpeedKnown: prefillSpeed.isKnown,
+      hasOnlyPrefillDelay: fetchTime === 0 && queued === 0,
+      waiting,
+      expectedFirstTokenTime,
+      source,
+      cost: expectedFirstTokenTime + crashExposureCost + zoneCost +
+        connectionCost +
+        preferredUpstreams.placementCost(id),
+    };
+  }
+
+  /** Upstreams that should have cached the last shared part. */
+  #findSources(
+    upstreams: readonly KnownUpstream[],
+    options: ChoiceOptions,
+  ): KnownUpstream[] {
+    const { request, now } = options;
+    const part = lastSharedPart(request);
+    if (part === undefined) {
+      return [];
+    }
+    const capacity = request.engine?.kvCapacityTokens;
+    return upstreams.filter((upstream) =>
+      remainsAvailable(upstream, now) &&
+      this.#localViews.get(upstream.record.id)?.cache
+          .isPrefilled(part, { capacity, now }) === true
+    );
+  }
+
+  #isEligible(upstream: KnownUpstream, options: ChoiceOptions): boolean {
+    const { record, receivedAt } = upstream;
+    const { request, now, requiresHeartbeats } = options;
+    if (record.service !== request.service || record.state !== "ready") {
+      return false;
+    }
+    // Heartbeats are ignored while no updates can reach this entry.
+    if (requiresHeartbeats && now - receivedAt > UNRESPONSIVE_TIMEOUT) {
+      return false;
+    }
+    const view = this.#localViews.get(record.id);
+    if (
+      requiresHeartbeats && view !== undefined && receivedAt <= view.crashedAt
+    ) {
+      return false;
+    }
+    return (view?.pausedUntil ?? 0) <= now && !request.excluded.has(record.id);
+  }
+
+  #countRequests(id: string): number {
+    const own = this.#localViews.get(id)?.requests ?? 0;
+    return own + (this.#reportedLoads.get(id)?.requests ?? 0);
+  }
+
+  /**
+   * Time until an upstream has prefilled the prompts sent to it. Notices of
+   * other entries arrive within milliseconds but may be lost; reported loads
+   * arrive late but reliably. The higher estimate counts.
+   */
+  #estimateBacklog(id: string, now: Milliseconds): Milliseconds {
+    const view = this.#localViews.get(id);
+    const reported = this.#reportedLoads.get(id);
+    const others = reported === undefined
+      ? 0
+      : Math.max(0, reported.backlog - (now - reported.at));
+    const own = view?.ownBacklog.remaining(now) ?? 0;
+    return Math.max(view?.backlog.remaining(now) ?? 0, own + others);
+  }
+
+  #view(id: string): LocalView {
+    const existing = this.#localViews.get(id);
+    if (existing !== undefined) {
+      return existing;
+    }
+    const view: LocalView = {
+      requests: 0,
+      pausedUntil: 0,
+      crashedAt: -Infinity,
+      ownBacklog: new Backlog(),
+      backlog: new Backlog(),
+      cache: new PrefixCacheEstimate(),
+    };
+    this.#localViews.set(id, view);
+    return view;
+  }
+}
+
+/**
+ * The last part that other requests are likely to share. The final part belongs
+ * to the request itself or its session.
+ */
+function lastSharedPart(request: BalancedRequest): string | undefined {
+  return (request.parts.at(-2) ?? request.parts.at(-1))?.id;
+}
+
+/** Whether an upstream remains available long enough to fetch parts from it. */
+function remainsAvailable(upstream: KnownUpstream, now: Milliseconds): boolean {
+  const { record, receivedAt } = upstream;
+  if (record.state === "ready") {
+    return now - receivedAt < UNRESPONSIVE_TIMEOUT;
+  }
+  // A draining upstream without a departure time may stop at any moment.
+  return record.state === "draining" && record.leavesIn !== undefined &&
+    now < receivedAt + record.leavesIn - FETCH_MARGIN;
+}
--- a/packages/serving/upstream_choice_test.ts
+++ b/packages/serving/upstream_balancer_test.ts
@@ -1,17 +1,17 @@
 import type { DispatchNotice } from "@heroncleat/schema";
-import { UpstreamChoice, UpstreamDirectory } from "./mod.ts";
+import { UpstreamBalancer, UpstreamDirectory } from "./mod.ts";
 
 const parts = [{ id: "menu", tokens: 10_000 }, { id: "own", tokens: 500 }];
 
-function directoryOf(count: number): UpstreamDirectory {
+function createDirectory(count: number): UpstreamDirectory {
   const directory = new UpstreamDirectory();
-  for (let made = 0; made < count; made += 1) {
+  for (let index = 0; index < count; index += 1) {
     directory.merge({
-      id: `u${made}`,
-      name: `u${made}`,
+      id: `u${index}`,
+      name: `u${index}`,
       born: undefined,
       service: "writers",
-      address: `10.0.0.${made}:80`,
+      address: `10.0.0.${index}:80`,
       zone: "a",
       slots: 4,
       sequence: 1,
@@ -31,8 +31,10 @@
   excluded: new Set<string>(),
 };
 
-/** Another entry sent the shared part, and it was read at once. */
-function noticeOf(upstream: string): DispatchNotice {
+/**
+ * A notice that another entry dispatched the shared part, already prefilled.
+ */
+function createNotice(upstream: string): DispatchNotice {
   return {
     kind: "dispatch",
     upstream,
@@ -43,89 +45,89 @@
 }
 
 describe("the choice of an upstream", () => {
-  test("is the same at entries that know nothing of each other", () => {
-    const directory = directoryOf(8);
+  test("is the same at entries without information about each other", () => {
+    const directory = createDirectory(8);
     const choose = () =>
-      new UpstreamChoice().choose(directory.list(), {
+      new UpstreamBalancer().choose(directory.list(), {
         request,
         now: 0,
-        trusts: true,
+        requiresHeartbeats: true,
       })?.upstream.record.id;
     expect(choose()).toBe(choose());
   });
 
-  test("goes where the shared part is, also when another entry sent it", () => {
-    const directory = directoryOf(8);
-    const choice = new UpstreamChoice();
-    choice.learnDispatch(noticeOf("u3"), 0);
-    const chosen = choice.choose(directory.list(), {
+  test("prefers the upstream to which another entry sent the shared part", () => {
+    const directory = createDirectory(8);
+    const balancer = new UpstreamBalancer();
+    balancer.applyDispatchNotice(createNotice("u3"), 0);
+    const chosen = balancer.choose(directory.list(), {
       request,
       now: 10,
-      trusts: true,
+      requiresHeartbeats: true,
     });
     expect(chosen?.upstream.record.id).toBe("u3");
     expect(chosen?.uncachedTokens).toBe(500);
   });
 
-  test("leaves a busy upstream and names it as the source of the part", () => {
-    const directory = directoryOf(2);
-    const choice = new UpstreamChoice();
-    choice.learnDispatch(noticeOf("u1"), 0);
-    choice.learnOthers({ u1: { requests: 4, backlog: 2000 } }, 0);
-    const chosen = choice.choose(directory.list(), {
+  test("avoids a busy upstream and returns it as the source of the part", () => {
+    const directory = createDirectory(2);
+    const balancer = new UpstreamBalancer();
+    balancer.applyDispatchNotice(createNotice("u1"), 0);
+    balancer.replaceReportedLoads({ u1: { requests: 4, backlog: 2000 } }, 0);
+    const chosen = balancer.choose(directory.list(), {
       request,
       now: 10,
-      trusts: true,
+      requiresHeartbeats: true,
     });
     expect(chosen?.upstream.record.id).toBe("u0");
     expect(chosen?.source?.record.id).toBe("u1");
   });
 
-  test("never takes one that drains, is excluded, paused or silent", () => {
-    const directory = directoryOf(4);
-    const choice = new UpstreamChoice();
+  test("skips draining, excluded, paused and unresponsive upstreams", () => {
+    const directory = createDirectory(4);
+    const balancer = new UpstreamBalancer();
     directory.merge(
       { ...directory.get("u0")!.record, sequence: 2, state: "draining" },
       5000,
     );
-    choice.pause("u2", 5400);
+    balancer.pause("u2", 5400);
     directory.merge({ ...directory.get("u2")!.record, sequence: 2 }, 5400);
     directory.merge({ ...directory.get("u3")!.record, sequence: 2 }, 5400);
     const excluded = new Set(["u3"]);
-    const choose = (trusts: boolean) =>
-      choice.choose(directory.list(), {
+    const choose = (requiresHeartbeats: boolean) =>
+      balancer.choose(directory.list(), {
         request: { ...request, excluded },
         now: 5500,
-        trusts,
+        requiresHeartbeats,
       })?.upstream.record.id;
     expect(choose(true)).toBeUndefined();
-    // Without updates, silence says nothing of u1.
+    // Without updates, a missing heartbeat doesn't exclude u1.
     expect(choose(false)).toBe("u1");
   });
 
-  test("accounts for requests under way until they end", () => {
-    const directory = directoryOf(1);
-    const choice = new UpstreamChoice();
-    const chosen = choice.choose(directory.list(), {
+  test("counts requests in flight until they end", () => {
+    const directory = createDirectory(1);
+    const balancer = new UpstreamBalancer();
+    const chosen = balancer.choose(directory.list(), {
       request,
       now: 0,
-      trusts: true,
+      requiresHeartbeats: true,
     })!;
-    choice.begin(chosen, { parts, now: 0 });
-    const { u0 } = choice.loads(0);
+    balancer.begin(chosen, { parts, now: 0 });
+    const { u0 } = balancer.loads(0);
     expect(u0?.requests).toBe(1);
     expect(u0?.backlog).toBe(Math.round(chosen.readTime));
-    choice.end(chosen);
-    expect(choice.loads(0)).toEqual({});
+    balancer.end(chosen);
+    expect(balancer.loads(0)).toEqual({});
   });
 
-  test("keeps away from where another entry just sent a long prompt", () => {
-    const directory = directoryOf(2);
-    const sender = new UpstreamChoice();
-    const other = new UpstreamChoice();
-    const options = { request, now: 0, trusts: true };
+  test("avoids an upstream to which another entry just sent a long prompt", () => {
+    const directory = createDirectory(2);
+    const sender = new UpstreamBalancer();
+    const other = new UpstreamBalancer();
+    const options = { request, now: 0, requiresHeartbeats: true };
     const first = sender.choose(directory.list(), options)!;
-    other.learnDispatch(sender.begin(first, { parts, now: 0 }), 1);
+    other.applyDispatchNotice(sender.begin(first, { parts, now: 0 }), 1);
     const unrelated = {
       ...request,
       parts: [{ id: "rules", tokens: 9000 }, { id: "mine", tokens: 900 }],
@@ -138,10 +140,10 @@
     expect(second?.upstream).not.toBe(first.upstream);
   });
 
-  test("waits for a backlog only as long as it lasts", () => {
-    const directory = directoryOf(2);
-    const choice = new UpstreamChoice();
-    choice.learnDispatch({
+  test("accounts for a backlog only until it is prefilled", () => {
+    const directory = createDirectory(2);
+    const balancer = new UpstreamBalancer();
+    balancer.applyDispatchNotice({
       kind: "dispatch",
       upstream: "u0",
       readTime: 900,
@@ -149,14 +151,18 @@
       parts: ["menu"],
     }, 0);
     const chooseAt = (now: number) =>
-      choice.choose(directory.list(), { request, now, trusts: true })!;
+      balancer.choose(directory.list(), {
+        request,
+        now,
+        requiresHeartbeats: true,
+      })!;
     expect(chooseAt(10).upstream.record.id).toBe("u1");
     expect(chooseAt(880).upstream.record.id).toBe("u0");
   });
 
-  test("counts on a part until as many tokens came in as memory holds", () => {
-    const directory = directoryOf(1);
-    const choice = new UpstreamChoice();
+  test("expects a part to be evicted once newer tokens fill the KV cache", () => {
+    const directory = createDirectory(1);
+    const balancer = new UpstreamBalancer();
     const engine = {
       slots: 4,
       kvCapacityTokens: 100_000,
@@ -165,7 +171,7 @@
       canMove: false,
     };
     const send = (part: string, tokens: number) =>
-      choice.learnDispatch({
+      balancer.applyDispatchNotice({
         kind: "dispatch",
         upstream: "u0",
         readTime: 0,
@@ -173,10 +179,10 @@
         parts: [part],
       }, 0);
     const uncached = () =>
-      choice.choose(directory.list(), {
+      balancer.choose(directory.list(), {
         request: { ...request, engine },
         now: 0,
-        trusts: true,
+        requiresHeartbeats: true,
       })!.uncachedTokens;
     send("menu", 10_000);
     send("others", 60_000);
@@ -185,24 +191,24 @@
     expect(uncached()).toBe(10_500);
   });
 
-  test("fetches from the nearest upstream that has the part", () => {
-    const directory = directoryOf(3);
+  test("fetches from an upstream in the same zone that has the part", () => {
+    const directory = createDirectory(3);
     directory.merge({
       ...directory.get("u1")!.record,
       zone: "b",
       sequence: 2,
     }, 0);
-    const choice = new UpstreamChoice();
-    choice.learnDispatch(noticeOf("u1"), 0);
-    choice.learnDispatch(noticeOf("u2"), 0);
-    choice.learnOthers({
+    const balancer = new UpstreamBalancer();
+    balancer.applyDispatchNotice(createNotice("u1"), 0);
+    balancer.applyDispatchNotice(createNotice("u2"), 0);
+    balancer.replaceReportedLoads({
       u1: { requests: 0, backlog: 5000 },
       u2: { requests: 0, backlog: 5000 },
     }, 0);
-    const chosen = choice.choose(directory.list(), {
+    const chosen = balancer.choose(directory.list(), {
       request,
       now: 0,
-      trusts: true,
+      requiresHeartbeats: true,
     });
     expect(chosen?.upstream.record.id).toBe("u0");
     expect(chosen?.source?.record.id).toBe("u2");
@@ -210,12 +216,16 @@
     expect(chosen?.uncachedTokens).toBe(500);
   });
 
-  test("fetches nothing that is yet to be read, or from one that leaves", () => {
-    const directory = directoryOf(2);
-    const choice = new UpstreamChoice();
+  test("fetches neither pending parts nor from an upstream about to depart", () => {
+    const directory = createDirectory(2);
+    const balancer = new UpstreamBalancer();
     const chooseAt = (now: number) =>
-      choice.choose(directory.list(), { request, now, trusts: true })!;
-    choice.learnDispatch({
+      balancer.choose(directory.list(), {
+        request,
+        now,
+        requiresHeartbeats: true,
+      })!;
+    balancer.applyDispatchNotice({
       kind: "dispatch",
       upstream: "u1",
       readTime: 900,
@@ -223,7 +233,7 @@
       parts: ["menu"],
     }, 0);
     expect(chooseAt(100).source).toBeUndefined();
-    choice.learnOthers({ u1: { requests: 0, backlog: 5000 } }, 900);
+    balancer.replaceReportedLoads({ u1: { requests: 0, backlog: 5000 } }, 900);
     expect(chooseAt(1000).source?.record.id).toBe("u1");
     directory.merge({
       ...directory.get("u1")!.record,
@@ -235,13 +245,13 @@
     expect(chooseAt(2700).source).toBeUndefined();
   });
 
-  test("uses a kept connection where little else speaks for another", () => {
-    const directory = directoryOf(3);
+  test("prefers an upstream with an open connection if the others are equal", () => {
+    const directory = createDirectory(3);
     const plain = { ...request, parts: [], promptTokens: 0 };
-    const chosen = new UpstreamChoice().choose(directory.list(), {
+    const chosen = new UpstreamBalancer().choose(directory.list(), {
       request: { ...plain, isConnected: (id) => id === "u2" },
       now: 0,
-      trusts: true,
+      requiresHeartbeats: true,
     });
     expect(chosen?.upstream.record.id).toBe("u2");
   });
--- a/packages/serving/upstream_load.ts
+++ b/packages/serving/upstream_load.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** What entries have under way at one upstream. @public */
+/** Load that entries put on one upstream. @public */
 export type UpstreamLoad = {
-  /** Requests that were sent and have no final answer. */
+  /** Requests in flight. */
   readonly requests: number;
-  /** Time until it has read the prompts that they sent it. */
+  /** Time until the upstream has prefilled the prompts sent to it. */
   readonly backlog: Milliseconds;
 };
--- a/packages/serving/workspace.ts
+++ b/packages/serving/workspace.ts
@@ -1,15 +1,15 @@
-/** One customer, its keys and its quota. @public */
+/** A customer with its keys and its quota. @public */
 export type Workspace = {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Takes precedence over the route's; 0 is the most urgent. */
+  /** Overrides the route's priority; 0 is the highest. */
   readonly priority: number | undefined;
-  /** Tokens a second over all entries; 0 means no limit. */
+  /** Tokens per second over all entries; 0 means unlimited. */
   readonly rate: number;
-  /** Tokens that may be spent at once. */
+  /** Capacity of the token bucket. */
   readonly burst: number;
-  /** What a request without a token count is charged. */
+  /** Charge of a request without a token count. */
   readonly defaultCharge: number;
-  /** Whether the quota counts tokens; it counts requests otherwise. */
+  /** Whether the quota counts model tokens instead of requests. */
   readonly countsTokens: boolean;
 };
--- a/packages/serving/workspace_quota.ts
+++ b/packages/serving/workspace_quota.ts
@@ -8,111 +8,105 @@
 import type { QuotaSettings } from "./quota_settings.ts";
 import type { Workspace } from "./workspace.ts";
 
-/** Why a request can't be charged, in tokens and tokens a second. */
+/** Refusal of a charge. */
 type QuotaRefusal = {
   readonly ok: false;
   readonly retryAfter: Milliseconds;
-  /** What this entry takes to be left of a window's limit. */
-  readonly left: number;
+  /** Estimated tokens remaining in the window. */
+  readonly remaining: number;
+  /** Tokens of the window's quota. */
   readonly limit: number;
 };
 
 const SECOND: Milliseconds = 1000;
 /**
- * Part of a window's limit that is taken to be spent when an entry restarts;
- * it counts less as that time passes out of the window. What the others spent
- * before isn't known, and several entries may restart at once.
+ * Share of a window's limit that is assumed spent when an entry restarts, as
+ * earlier charges are unknown and several entries may restart at once. It
+ * decreases to 0 over one window.
  */
-const RESTART_SPENT = 0.9;
+const RESTART_SPENT_SHARE = 0.9;
 
-/** Most of a bucket that a restarted entry starts with. */
-const RESTART_LEVEL = 0.5;
+/** Maximum share of a bucket's capacity that a restarted entry starts with. */
+const RESTART_LEVEL_SHARE = 0.5;
 /**
- * Part of the tolerated excess that all entries together may start with, if
- * all restart at once and none has known of the others.
+ * Share of the tolerated excess that the initial levels of all entries add up
+ * to if they restart at once.
  */
-const RESTART_SHARE = 0.8;
+const RESTART_EXCESS_SHARE = 0.8;
 /**
- * Time without an exchange for which the others are taken to spend as before;
- * after it this entry keeps to its own share. Exchanges are 150 to 600 ms
- * apart.
+ * Time without an exchange for which the other entries are assumed to spend at
+ * the same rate. After it this entry keeps to its own share. Longer than the
+ * pause between two exchanges.
  */
-const MOST_FORECAST: Milliseconds = 1000;
-/** Time after which the sources of updates find out that an entry is silent. */
-const FOUND_AFTER: Milliseconds = 600;
+const MAX_FORECAST_TIME: Milliseconds = 1000;
+/** Time after which control replicas detect an unresponsive entry. */
+const TIMEOUT_DETECTION_TIME: Milliseconds = 600;
 /**
- * Part of the tolerated excess by which one request may overdraw the bucket.
- * A bucket that is asked for more than its rate is nearly empty all the time;
- * without an overdraft it serves small requests only.
+ * Share of the tolerated excess by which one request may overdraw the bucket.
+ * Without an overdraft, an overloaded bucket is nearly always empty and serves
+ * only small requests.
  */
 const OVERDRAFT_SHARE = 0.2;
 
 /**
- * Part of the tolerated excess that may be handed out twice while a minority
- * of the entries is out of reach and may be using its share. VMs without power
- * kept a quarter of every quota for 14 s; with 3 of 11 entries dark a simulated
- * load is served 0.78 of the rate, 0.75 without it.
+ * Share of the tolerated excess that the majority may use of the refill of an
+ * unreachable minority, which may be using it too.
  */
 const SPARE_SHARE = 0.2;
 
 /**
- * Part of what this entry took since the exchange that each other one is taken
- * to have taken too. Without it 11 entries that see room at the same moment
- * each spend it: windows of 40 simulated loads used up to 0.97 of what is
- * tolerated, 0.31 with it, at 0.1 spent on purpose.
+ * Share of this entry's consumption since the last exchange that each other
+ * entry is assumed to have consumed too. It keeps entries that see the same
+ * remaining quota from spending it all at once.
  */
-const ALIKE_SHARE = 0.5;
+const SIMILAR_PEER_SHARE = 0.5;
 /**
- * Time whose refill bounds that: in the long run all take no more than comes
- * in, and with many entries a single request says little about the others.
+ * Time whose refill bounds the assumed consumption of the other entries. With
+ * many entries, a single request says little about the others.
  */
-const ALIKE_OVER: Milliseconds = 600;
+const SIMILAR_PEER_WINDOW: Milliseconds = 600;
 
-/**
- * Age up to which what others spent is taken as it is. Few entries exchange
- * every 150 ms and need no more.
- */
-const FRESH_FOR: Milliseconds = 250;
-/** Most that a workspace may come to ask for at once, as a part of its rate. */
-const MOST_SURGE = 8;
+/** Age up to which the charges of the other entries count as current. */
+const FRESHNESS_WINDOW: Milliseconds = 250;
+/** Maximum demand of a workspace as a multiple of its rate. */
+const MAX_SURGE_FACTOR = 8;
 
 /**
- * Quotas of workspaces shared by all entries without asking on each request.
- * Every entry counts what all entries spent in the last window: its own charges
- * at once, and those of the others when an exchange brings them. Entries that
- * are out of reach are taken to use an even share until they report again.
+ * Quotas of workspaces, shared by all entries without coordination per request.
+ * Every entry tracks the charges of all entries in the quota window: its own
+ * immediately, those of the others with each exchange. Unreachable entries are
+ * assumed to use an even share until they report again.
  *
- * A bucket of the burst refills by the rate; besides, the sum of any window is
- * bounded by what the bucket can give in it, whatever an entry missed or
- * counted wrongly before. A refill by the burst once a window, which the
- * window's sum alone would allow, overruns the tolerated sum, as an entry that
- * is cut off spends a second's share before it knows.
+ * Two bounds apply: a token bucket, refilled at the rate of the workspace, and
+ * the sum of the sliding window, which holds even if the bucket missed charges.
+ * The sum alone isn't enough, as it would allow bursts that an isolated entry
+ * spends before it detects the partition.
  *
- * What the quota covers is always served. A second limit of what is tolerated
- * beyond it serves some of the rest, so that requests beyond the quota never
- * take the place of those within.
+ * Requests within the quota are always served. A second limit serves some of
+ * the others from the tolerated excess, so that these never displace requests
+ * within the quota.
  *
  * @public
  */
 export class WorkspaceQuota {
   readonly #settings: QuotaSettings;
   readonly #accounts = new Map<string, QuotaAccount>();
-  readonly #spent = new Map<string, number>();
-  readonly #others: OthersCharges;
-  #othersAt: Milliseconds = 0;
+  readonly #chargedTotals = new Map<string, number>();
+  readonly #peerCharges: OthersCharges;
+  #syncedAt: Milliseconds = 0;
   #startedAt: Milliseconds | undefined;
-  #entries = 1;
-  /** Share of the rate that this entry's side of the system may hand out. */
+  #entryCount = 1;
+  /** Share of the rate that this entry's side of a partition may use. */
   #share = 1;
-  /** The share by which buckets were last refilled. */
+  /** Share that the last refill of the buckets used. */
   #refillShare = 1;
 
   constructor(settings: QuotaSettings) {
     this.#settings = settings;
-    this.#others = new OthersCharges(settings.isFresh);
+    this.#peerCharges = new OthersCharges(settings.isFresh);
   }
 
-  /** Charges a request, or says how long until it could be charged. */
+  /** Charges a request, or returns the time until it could be charged. */
   charge(
     workspace: Workspace,
     options: { amount: number; now: Milliseconds },
@@ -126,86 +120,98 @@
     }
     this.#startedAt ??= now;
     const quota = quotaLimits.quota(workspace, this.#settings);
-    const left = this.#leftOf(quota, now);
-    if (this.#covers(quota, { amount, left })) {
-      this.#take(quota.name, amount, now);
+    const remaining = this.#remainingOf(quota, now);
+    if (this.#covers(quota, { amount, remaining })) {
+      this.#record(quota.name, amount, now);
       return { ok: true, charge: { workspace: name, amount, isExcess: false } };
     }
     const excess = quotaLimits.excess(workspace, {
       ...this.#settings,
       share: this.#share,
     });
-    if (this.#cautiousLeftOf(excess, now) >= amount) {
-      this.#take(excess.name, amount, now);
+    if (this.#conservativeRemainingOf(excess, now) >= amount) {
+      this.#record(excess.name, amount, now);
       return { ok: true, charge: { workspace: name, amount, isExcess: true } };
     }
-    const retryAfter = this.#timeUntil(quota, { amount, left, now });
-    return { ok: false, retryAfter, left, limit: quota.tokens };
+    const retryAfter = this.#timeUntil(quota, {
+      amount,
+      remaining,
+      now,
+    });
+    return { ok: false, retryAfter, remaining, limit: quota.tokens };
   }
 
   /**
-   * Whether a request should wait for an exchange before it is charged: what is
-   * known of the others is old, and they may have spent what is left since.
+   * Whether a request should wait for an exchange before it is charged: the
+   * charges of the other entries are old, and these may have consumed the
+   * remaining quota since.
    */
-  isOutdated(
+  isStale(
     workspace: Workspace,
     options: { amount: number; now: Milliseconds },
   ): boolean {
     const { amount, now } = options;
-    const age = now - this.#othersAt;
-    if (workspace.rate <= 0 || !this.#isFarApart || age <= FRESH_FOR) {
+    const age = now - this.#syncedAt;
+    if (
+      workspace.rate <= 0 || !this.#hasLongExchangePause ||
+      age <= FRESHNESS_WINDOW
+    ) {
       return false;
     }
     const quota = quotaLimits.quota(workspace, this.#settings);
-    const surge = MOST_SURGE * workspace.rate * age / SECOND;
-    return this.#leftOf(quota, now) < amount + surge;
+    const surge = MAX_SURGE_FACTOR * workspace.rate * age / SECOND;
+    return this.#remainingOf(quota, now) < amount + surge;
   }
 
-  /** Whether the others should learn of a charge before the next exchange. */
+  /**
+   * Whether to report a charge to the other entries before the next exchange.
+   */
   isReportDue({ amount, workspace }: QuotaCharge): boolean {
-    return amount > 0 && this.#isFarApart &&
+    return amount > 0 && this.#hasLongExchangePause &&
       this.#accounts.has(workspace);
   }
 
-  /** Whether there are so many entries that each exchanges seldom. */
-  get #isFarApart(): boolean {
-    return exchangePause.whole(this.#entries) > FRESH_FOR;
+  /**
+   * Whether the pause between exchanges, which grows with the entries, is long.
+   */
+  get #hasLongExchangePause(): boolean {
+    return exchangePause.whole(this.#entryCount) > FRESHNESS_WINDOW;
   }
 
-  /** Gives back what a request that didn't run was charged. */
+  /** Refunds the charge of a request that didn't run. */
   refund(charge: QuotaCharge, now: Milliseconds): void {
     const { workspace, amount, isExcess } = charge;
     const name = isExcess ? quotaLimits.excessName(workspace) : workspace;
-    this.#take(name, -amount, now);
+    this.#record(name, -amount, now);
   }
 
-  /** All that this process charged, by limit. */
+  /** Total charges of this process, by limit. */
   spent(): Record<string, number> {
-    return Object.fromEntries(this.#spent);
+    return Object.fromEntries(this.#chargedTotals);
   }
 
   /**
-   * Takes in what the other entries charged, as one of several sources counts
-   * it, and what part of the quotas may be handed out.
+   * Applies a full exchange: the charges of the other entries as reported by
+   * one of several sources, and the usable share of the quotas.
    */
-  learnOthers(
+  applyCharges(
     source: string,
     options: {
       spent: Readonly<Record<string, number>>;
       share: number;
-      /** Entries that share the quotas. */
+      /** Number of entries that share the quotas. */
       entries: number;
       now: Milliseconds;
     },
   ): void {
-    this.#entries = Math.max(1, options.entries);
+    this.#entryCount = Math.max(1, options.entries);
     const before = this.#refillAll(options.now);
-    const elapsed = Math.max(0, options.now - this.#othersAt);
-    const receivedBefore = this.#othersAt;
-    this.#othersAt = options.now;
-    const added = this.#learn(source, options.spent, options.now);
+    const elapsed = Math.max(0, options.now - this.#syncedAt);
+    const receivedBefore = this.#syncedAt;
+    this.#syncedAt = options.now;
+    const added = this.#merge(source, options.spent, options.now);
     for (const [name, account] of this.#accounts) {
-      account.notePace(added.get(name) ?? 0, elapsed);
+      account.recordRate(added.get(name) ?? 0, elapsed);
     }
     this.#setShare(before, {
       share: options.share,
@@ -214,130 +220,147 @@
     });
   }
 
-  /** Takes in what a source reports beside the one that is asked for all. */
-  learnBeside(
+  /**
+   * Applies the charges reported by a source other than that of full exchanges.
+   */
+  applySecondaryCharges(
     source: string,
     spent: Readonly<Record<string, number>>,
     now: Milliseconds,
   ): void {
-    for (const [name, more] of this.#learn(source, spent, now)) {
-      this.#accountOf(name).noteBetween(more);
+    for (const [name, amount] of this.#merge(source, spent, now)) {
+      this.#accountOf(name).recordSecondaryCharges(amount);
     }
   }
 
-  #learn(
+  #merge(
     source: string,
     spent: Readonly<Record<string, number>>,
     now: Milliseconds,
   ): Map<string, number> {
     this.#startedAt ??= now;
-    const added = this.#others.learn(source, spent);
-    for (const [name, more] of added) {
-      this.#accountOf(name).spend(more, now);
+    const added = this.#peerCharges.learn(source, spent);
+    for (const [name, amount] of added) {
+      this.#accountOf(name).spend(amount, now);
     }
     return added;
   }
 
-  /** Without an exchange, only an even share may be handed out. */
+  /** Limits the usable share of the quotas while no exchange is possible. */
   isolate(share: number, now: Milliseconds): void {
     const before = this.#refillAll(now);
-    this.#setShare(before, { share, receivedBefore: this.#othersAt, now });
+    this.#setShare(before, { share, receivedBefore: this.#syncedAt, now });
   }
 
-  /** Refills all buckets, and says by what share. */
+  /** Refills all buckets and returns the share that was used. */
   #refillAll(now: Milliseconds): number {
-    const share = this.#noteShare(now);
+    const share = this.#refreshShare(now);
     for (const account of this.#accounts.values()) {
       account.refill(now, share);
     }
     return share;
   }
 
-  /** Takes in what part of the quotas is surely not spent out of reach. */
+  /**
+   * Sets the share of the quotas that unreachable entries can't be spending.
+   */
   #setShare(
     before: number,
     updates: { share: number; receivedBefore: Milliseconds; now: Milliseconds },
   ): void {
     const { share, receivedBefore, now } = updates;
     if (share < before) {
-      this.#takeBack({ before, after: share }, { since: receivedBefore, now });
+      this.#revokeRefill({ before, after: share }, {
+        since: receivedBefore,
+        now,
+      });
     }
     if (share > before) {
-      const part = (share - before) / (1 - before);
+      const returnedShare = (share - before) / (1 - before);
       for (const account of this.#accounts.values()) {
-        account.noteReturn(part);
+        account.restoreRefill(returnedShare);
       }
     }
     this.#share = share;
     this.#refillShare = share;
   }
 
-  /** The share that may be handed out now; what was too much is taken back. */
-  #noteShare(now: Milliseconds): number {
+  /** Returns the usable share; revokes excess refill if it has decreased. */
+  #refreshShare(now: Milliseconds): number {
     const share = this.#shareAt(now);
     const before = this.#refillShare;
     this.#refillShare = share;
     if (share < before) {
-      const since = this.#othersAt;
-      this.#takeBack({ before, after: share }, { since, now });
+      const since = this.#syncedAt;
+      this.#revokeRefill({ before, after: share }, { since, now });
     }
     return share;
   }
 
-  #takeBack(
+  #revokeRefill(
     shares: { before: number; after: number },
     span: { since: Milliseconds; now: Milliseconds },
   ): void {
-    // Who went out of reach reported for the last time before the exchange that
-    // didn't know it yet.
-    const since = span.since - FOUND_AFTER;
+    // An unreachable entry sent its last report before the exchange that didn't
+    // detect its timeout yet.
+    const since = span.since - TIMEOUT_DETECTION_TIME;
     for (const account of this.#accounts.values()) {
-      account.takeBack(shares, { since, now: span.now });
+      account.revokeRefill(shares, { since, now: span.now });
     }
   }
 
   #shareAt(now: Milliseconds): number {
-    const isSilent = now - this.#othersAt > MOST_FORECAST;
-    return isSilent ? Math.min(this.#share, 1 / this.#entries) : this.#share;
+    const isOverdue = now - this.#syncedAt > MAX_FORECAST_TIME;
+    return isOverdue
+      ? Math.min(this.#share, 1 / this.#entryCount)
+      : this.#share;
   }
 
-  /** Whether what is left covers a request, or all but the overdraft of it. */
+  /** Whether the remaining quota and the overdraft cover a request. */
   #covers(
     limit: QuotaLimit,
-    options: { amount: number; left: number },
+    options: { amount: number; remaining: number },
   ): boolean {
-    const { amount, left } = options;
-    const overdraft = OVERDRAFT_SHARE * limit.tolerated * this.#share;
-    return left > 0 && left + overdraft >= Math.min(amount, limit.burst);
+    const { amount, remaining } = options;
+    const overdraft = OVERDRAFT_SHARE * limit.toleratedExcess * this.#share;
+    return remaining > 0 &&
+      remaining + overdraft >= Math.min(amount, limit.burst);
   }
 
-  /** What is left, less what the others will have spent since the exchange. */
-  #leftOf(limit: QuotaLimit, now: Milliseconds): number {
+  /**
+   * Remaining quota, less the expected charges of others since the exchange.
+   */
+  #remainingOf(limit: QuotaLimit, now: Milliseconds): number {
     const account = this.#accountOf(limit.name);
-    const silence = Math.min(MOST_FORECAST, now - this.#othersAt);
+    const elapsed = Math.min(MAX_FORECAST_TIME, now - this.#syncedAt);
     return Math.min(
-      this.#fill(account, limit, now),
-      limit.tokens - account.window.sum(now) - this.#unknownOf(limit, now),
-    ) - Math.max(account.forecast(silence), this.#alike(account, limit));
+      this.#refilledLevel(account, limit, now),
+      limit.tokens - account.window.sum(now) -
+        this.#estimateUnknown(limit, now),
+    ) -
+      Math.max(
+        account.forecast(elapsed),
+        this.#estimateSimilarPeers(account, limit),
+      );
   }
 
   /**
-   * What the others took since the exchange, if callers ask them like this one.
+   * Consumption of the others since the exchange, if similar to this entry's.
    */
-  #alike(account: QuotaAccount, limit: QuotaLimit): number {
+  #estimateSimilarPeers(account: QuotaAccount, limit: QuotaLimit): number {
     return Math.min(
-      ALIKE_SHARE * account.takenSinceSync * (this.#entries - 1),
-      limit.rate * ALIKE_OVER / SECOND,
+      SIMILAR_PEER_SHARE * account.consumedSinceSync * (this.#entryCount - 1),
+      limit.rate * SIMILAR_PEER_WINDOW / SECOND,
     );
   }
 
   /** Time until both the bucket and the window cover an amount. */
   #timeUntil(
     limit: QuotaLimit,
-    options: { amount: number; left: number; now: Milliseconds },
+    options: { amount: number; remaining: number; now: Milliseconds },
   ): Milliseconds {
-    const { amount, left, now } = options;
-    const missing = Math.min(amount, limit.burst) - left;
+    const { amount, remaining, now } = options;
+    const missing = Math.min(amount, limit.burst) - remaining;
     const bound = Math.max(0, limit.tokens - amount);
     const { window } = this.#accountOf(limit.name);
     return Math.max(
@@ -346,64 +369,76 @@
     );
   }
 
-  #fill(account: QuotaAccount, limit: QuotaLimit, now: Milliseconds): number {
+  #refilledLevel(
+    account: QuotaAccount,
+    limit: QuotaLimit,
+    now: Milliseconds,
+  ): number {
     if (!account.isOpen) {
-      account.open(this.#startLevel(account, limit, now), now);
+      account.openBucket(this.#initialLevel(account, limit, now), now);
     }
-    const { burst, rate, tolerated } = limit;
-    const inWindow = rate * this.#settings.window / SECOND;
-    const spare = inWindow > 0 ? SPARE_SHARE * tolerated / inWindow : 0;
-    account.follow({ burst, rate, spare });
-    account.refill(now, this.#noteShare(now));
+    const { burst, rate, toleratedExcess } = limit;
+    const refillPerWindow = rate * this.#settings.window / SECOND;
+    const spareShare = refillPerWindow > 0
+      ? SPARE_SHARE * toleratedExcess / refillPerWindow
+      : 0;
+    account.updateLimit({ burst, rate, spareShare });
+    account.refill(now, this.#refreshShare(now));
     return account.level;
   }
 
-  #startLevel(
+  #initialLevel(
     account: QuotaAccount,
     limit: QuotaLimit,
     now: Milliseconds,
   ): number {
-    const { burst, tolerated } = limit;
+    const { burst, toleratedExcess } = limit;
     if (this.#settings.isFresh) {
       const rate = limit.rate / SECOND;
-      return account.window.replay({ burst, rate }, now);
+      return account.window.replayBucket({ burst, rate }, now);
     }
     return Math.min(
-      burst * RESTART_LEVEL,
-      tolerated * RESTART_SHARE / this.#entries,
+      burst * RESTART_LEVEL_SHARE,
+      toleratedExcess * RESTART_EXCESS_SHARE / this.#entryCount,
     );
   }
 
-  /** What is left even if every other entry took as much as this one. */
-  #cautiousLeftOf(limit: QuotaLimit, now: Milliseconds): number {
+  /** Remaining quota even if every other entry consumed as much as this one. */
+  #conservativeRemainingOf(limit: QuotaLimit, now: Milliseconds): number {
     const account = this.#accountOf(limit.name);
-    const alike = account.takenSinceSync * (this.#entries - 1);
+    const peerConsumption = account.consumedSinceSync * (this.#entryCount - 1);
     return Math.min(
-      this.#leftOf(limit, now),
-      this.#fill(account, limit, now) - alike,
+      this.#remainingOf(limit, now),
+      this.#refilledLevel(account, limit, now) - peerConsumption,
     );
   }
 
-  /** What may have been spent in this window before this process started. */
-  #unknownOf(limit: QuotaLimit, now: Milliseconds): number {
+  /**
+   * Tokens that may have been spent in this window before the process started.
+   */
+  #estimateUnknown(limit: QuotaLimit, now: Milliseconds): number {
     if (this.#settings.isFresh) {
       return 0;
     }
-    const known = (now - (this.#startedAt ?? now)) / this.#settings.window;
-    return limit.tokens * RESTART_SPENT * Math.max(0, 1 - known);
+    const observedShare = (now - (this.#startedAt ?? now)) /
+      this.#settings.window;
+    return limit.tokens * RESTART_SPENT_SHARE * Math.max(0, 1 - observedShare);
   }
 
-  #take(name: string, amount: number, now: Milliseconds): void {
+  #record(name: string, amount: number, now: Milliseconds): void {
     const account = this.#accountOf(name);
     account.spend(amount, now);
-    account.takenSinceSync += amount;
-    this.#spent.set(name, (this.#spent.get(name) ?? 0) + amount);
+    account.consumedSinceSync += amount;
+    this.#chargedTotals.set(
+      name,
+      (this.#chargedTotals.get(name) ?? 0) + amount,
+    );
   }
 
   #accountOf(name: string): QuotaAccount {
-    const known = this.#accounts.get(name);
-    if (known !== undefined) {
-      return known;
+    const existing = this.#accounts.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const account = new QuotaAccount(this.#settings.window);
     this.#accounts.set(name, account);
--- a/packages/serving/workspace_quota_test.ts
+++ b/packages/serving/workspace_quota_test.ts
@@ -4,10 +4,10 @@
 
 const settings = { isFresh: true, window: 8000, overshoot: 0.1, tolerance: 0 };
 
-describe("what other entries charged", () => {
-  const updates = { share: 1, entries: 4 };
+describe("charges of other entries", () => {
+  const exchange = { share: 1, entries: 4 };
   const strict = { ...settings, overshoot: 0 };
-  const spend = (quota: WorkspaceQuota, now: number) => {
+  const spendAll = (quota: WorkspaceQuota, now: number) => {
     let served = 0;
     while (quota.charge(workspace, { amount: 10, now }).ok) {
       served += 10;
@@ -15,41 +15,41 @@
     return served;
   };
 
-  test("is all counted when the source of charges changes", () => {
+  test("are all counted when the source of charges changes", () => {
     const quota = new WorkspaceQuota(strict);
     quota.charge(workspace, { amount: 10, now: 0 });
-    quota.learnOthers("a", { ...updates, spent: { inn: 0 }, now: 0 });
-    quota.learnBeside("b", { inn: 0 }, 0);
-    // The first source is lost; the others go on and b reports of it later.
-    quota.learnOthers("a", { ...updates, spent: { inn: 100 }, now: 100 });
-    quota.learnOthers("b", { ...updates, spent: { inn: 5000 }, now: 3000 });
-    expect(spend(quota, 3000)).toBe(0);
-    // What a passes on its return, b had reported before.
-    quota.learnOthers("a", { ...updates, spent: { inn: 5000 }, now: 7200 });
-    expect(spend(quota, 8000)).toBeGreaterThan(0);
+    quota.applyCharges("a", { ...exchange, spent: { inn: 0 }, now: 0 });
+    quota.applySecondaryCharges("b", { inn: 0 }, 0);
+    // Source a is lost; the other entries go on, and b reports their charges.
+    quota.applyCharges("a", { ...exchange, spent: { inn: 100 }, now: 100 });
+    quota.applyCharges("b", { ...exchange, spent: { inn: 5000 }, now: 3000 });
+    expect(spendAll(quota, 3000)).toBe(0);
+    // Source a returns with charges that b has already reported.
+    quota.applyCharges("a", { ...exchange, spent: { inn: 5000 }, now: 7200 });
+    expect(spendAll(quota, 8000)).toBeGreaterThan(0);
   });
 
-  test("counts from the first word of a source that starts anew", () => {
+  test("are counted from the first report of a restarted source", () => {
     const quota = new WorkspaceQuota(strict);
-    quota.learnOthers("a", { ...updates, spent: { inn: 7000 }, now: 0 });
-    // All replicas restart; the new one has known of no charge at first.
-    quota.learnOthers("b", { ...updates, spent: {}, now: 9000 });
-    quota.learnOthers("b", { ...updates, spent: { inn: 6000 }, now: 12_000 });
-    expect(spend(quota, 12_000)).toBe(0);
+    quota.applyCharges("a", { ...exchange, spent: { inn: 7000 }, now: 0 });
+    // All replicas restart; the new one has no record of charges at first.
+    quota.applyCharges("b", { ...exchange, spent: {}, now: 9000 });
+    quota.applyCharges("b", { ...exchange, spent: { inn: 6000 }, now: 12_000 });
+    expect(spendAll(quota, 12_000)).toBe(0);
   });
 
-  test("is not counted twice by a source that starts anew", () => {
+  test("are not counted twice after a restart of the source", () => {
     const quota = new WorkspaceQuota({ ...settings, isFresh: false });
-    quota.learnOthers("a", { ...updates, spent: { inn: 900_000 }, now: 0 });
-    expect(spend(quota, 0)).toBeGreaterThan(0);
-    quota.learnOthers("b", { ...updates, spent: { inn: 40 }, now: 5000 });
-    quota.learnOthers("b", { ...updates, spent: { inn: 50 }, now: 5100 });
-    expect(spend(quota, 5100)).toBeGreaterThan(0);
+    quota.applyCharges("a", { ...exchange, spent: { inn: 900_000 }, now: 0 });
+    expect(spendAll(quota, 0)).toBeGreaterThan(0);
+    quota.applyCharges("b", { ...exchange, spent: { inn: 40 }, now: 5000 });
+    quota.applyCharges("b", { ...exchange, spent: { inn: 50 }, now: 5100 });
+    expect(spendAll(quota, 5100)).toBeGreaterThan(0);
   });
 });
 
 describe("the quota of a workspace", () => {
-  test("covers its burst, then its rate, and says when to come back", () => {
+  test("covers its burst, then its rate, and returns when to retry", () => {
     const quota = new WorkspaceQuota(settings);
     expect(quota.charge(workspace, { amount: 1000, now: 0 }).ok).toBe(true);
     const refused = quota.charge(workspace, { amount: 500, now: 0 });
@@ -57,18 +57,18 @@
     expect(quota.charge(workspace, { amount: 500, now: 500 }).ok).toBe(true);
   });
 
-  test("is bounded by the window though many entries restart at once", () => {
+  test("is bounded by the window when many entries restart at once", () => {
     const entries = [0, 1, 2, 3].map(() =>
       new WorkspaceQuota({ ...settings, tolerance: 850, isFresh: false })
     );
-    sendAll(entries, 0);
-    // Before the restart a whole window's quota was spent evenly.
+    exchangeCharges(entries, 0);
+    // Before the restart, a full window's quota was spent at a constant rate.
     let granted = 0;
     let most = 0;
     const spentBefore = (now: number) => 9000 * Math.max(0, 1 - now / 8000);
     for (let now = 0; now < 8000; now += 10) {
       if (now % 300 === 0) {
-        sendAll(entries, now);
+        exchangeCharges(entries, now);
       }
       for (const quota of entries) {
         granted += quota.charge(workspace, { amount: 10, now }).ok ? 10 : 0;
@@ -78,24 +78,24 @@
     expect(most).toBeLessThanOrEqual(9000 * 1.1 + 850);
   });
 
-  test("serves a request larger than the burst once it is full", () => {
+  test("serves a request larger than the burst with a full bucket", () => {
     const quota = new WorkspaceQuota(settings);
     expect(quota.charge(workspace, { amount: 5000, now: 0 }).ok).toBe(true);
-    // More than the part of the tolerated excess that is spent on purpose.
+    // Exceeds the usable share of the tolerated excess.
     expect(quota.charge(workspace, { amount: 500, now: 3000 }).ok).toBe(false);
   });
 
-  test("takes off what other entries charged since the last exchange", () => {
+  test("deducts the charges of other entries since the last exchange", () => {
     const quota = new WorkspaceQuota(settings);
     quota.charge(workspace, { amount: 1, now: 0 });
-    quota.learnOthers("a", {
+    quota.applyCharges("a", {
       spent: { inn: 500 },
       share: 1,
       entries: 4,
       now: 0,
     });
     expect(quota.charge(workspace, { amount: 400, now: 0 }).ok).toBe(true);
-    quota.learnOthers("a", {
+    quota.applyCharges("a", {
       spent: { inn: 1500 },
       share: 1,
       entries: 4,
@@ -104,24 +104,24 @@
     expect(quota.charge(workspace, { amount: 400, now: 0 }).ok).toBe(false);
   });
 
-  test("gives back what a request that didn't run was charged", () => {
+  test("is refunded for a request that didn't run", () => {
     const quota = new WorkspaceQuota(settings);
     const charged = quota.charge(workspace, { amount: 1000, now: 0 });
     if (!charged.ok) {
-      throw new Error("the full bucket refused");
+      throw new Error("the charge to a full bucket was refused");
     }
     quota.refund(charged.charge, 0);
     expect(quota.charge(workspace, { amount: 1000, now: 0 }).ok).toBe(true);
     expect(quota.spent()).toEqual({ inn: 1000 });
   });
 
-  test("serves at once after a restart, but not a whole burst", () => {
+  test("serves part of the burst immediately after a restart", () => {
     const quota = new WorkspaceQuota({ ...settings, isFresh: false });
     expect(quota.charge(workspace, { amount: 500, now: 0 }).ok).toBe(true);
     expect(quota.charge(workspace, { amount: 500, now: 0 }).ok).toBe(false);
   });
 
-  test("hands out an even share while no control replica answers", () => {
+  test("is limited to an even share while no control replica is reachable", () => {
     const quota = new WorkspaceQuota(settings);
     quota.charge(workspace, { amount: 1000, now: 0 });
     quota.isolate(1 / 10, 0);
@@ -129,8 +129,8 @@
     expect(quota.charge(workspace, { amount: 100, now: 1000 }).ok).toBe(true);
   });
 
-  // Callers ask for 4 times the rate, as a hot workspace does; entries receive
-  // of each other every 300 ms; the tolerance is that of a large workspace.
+  // Guards against entries that together exceed the tolerated sum of a window
+  // while callers request 4 times the rate.
   test("never exceeds the tolerated sum of a window, over all entries", () => {
     fc.assert(
       fc.property(
@@ -148,7 +148,7 @@
   });
 });
 
-/** Four entries that learn of each other every 300 ms. */
+/** Simulates four entries that exchange their charges every 300 ms. */
 function expectBounded(steps: [number, number, number][]): void {
   const { window } = settings;
   const tolerance = 850;
@@ -162,7 +162,7 @@
     now += pause / 10;
     if (now - reportedAt >= 300) {
       reportedAt = now;
-      sendAll(entries, now);
+      exchangeCharges(entries, now);
     }
     if (entries[index]!.charge(workspace, { amount, now }).ok) {
       granted.push({ at: now, amount });
@@ -184,7 +184,10 @@
   expect(most).toBeLessThanOrEqual(bound);
 }
 
-function sendAll(entries: readonly WorkspaceQuota[], now: number): void {
+function exchangeCharges(
+  entries: readonly WorkspaceQuota[],
+  now: number,
+): void {
   const spent = entries.map((entry) => entry.spent());
   entries.forEach((entry, index) => {
     const others: Record<string, number> = {};
@@ -193,6 +196,6 @@
         others[name] = (others[name] ?? 0) + total;
       }
     });
-    entry.learnOthers("hub", { spent: others, share: 1, entries: 4, now });
+    entry.applyCharges("hub", { spent: others, share: 1, entries: 4, now });
   });
 }
