--- a/packages/serving/fleet_planner_test.ts
+++ b/packages/serving/fleet_planner_test.ts
@@ -18,7 +18,7 @@
 const INTERVAL = 200;
 
 /** Ready upstreams: spot ones by zone, and on-demand ones over all zones. */
-function fleet(spots: readonly number[], onDemand = 0): UpstreamRecord[] {
+function createFleet(spots: readonly number[], onDemand = 0): UpstreamRecord[] {
   const records: UpstreamRecord[] = [];
   const add = (zone: string, isSpot: boolean) =>
     records.push({
@@ -68,7 +68,7 @@
   test("orders spot upstreams first and releases on-demand ones for them", () => {
     const planner = new FleetPlanner(service, { settings, now: 0 });
     const orders = planner.plan({
-      upstreams: fleet([0, 0, 0, 0], 12),
+      upstreams: createFleet([0, 0, 0, 0], 12),
       isIdle: true,
       now: 0,
     });
@@ -82,7 +82,7 @@
     }
     // Before any load, booting spot upstreams suffice.
     const after = planner.plan({
-      upstreams: fleet([0, 0, 0, 0], 12),
+      upstreams: createFleet([0, 0, 0, 0], 12),
       isIdle: true,
       now: 200,
     });
@@ -93,7 +93,11 @@
   test("keeps on-demand upstreams before any load while spot ones are unavailable", () => {
     const planner = new FleetPlanner(service, { settings, now: 0 });
     const plan = (now: number) =>
-      planner.plan({ upstreams: fleet([0, 0, 0, 0], 12), isIdle: true, now });
+      planner.plan({
+        upstreams: createFleet([0, 0, 0, 0], 12),
+        isIdle: true,
+        now,
+      });
     for (let now = 0; now < 10_000; now += INTERVAL) {
       for (const order of plan(now)) {
         expect(order.count).toBe(5);
@@ -108,7 +112,7 @@
     // Prefill keeps two engines busy; at a utilization of 0.25 this requires 8.
     const planner = createPlannerUnderLoad(2, 60_000);
     const orders = planner.plan({
-      upstreams: fleet([3, 3, 3, 3]),
+      upstreams: createFleet([3, 3, 3, 3]),
       isIdle: false,
       now: 60_000,
     });
@@ -140,7 +144,7 @@
     const countOnDemand = (spots: number[]) =>
       sumCounts(
         createPlannerUnderLoad(2, 60_000).plan({
-          upstreams: fleet(spots),
+          upstreams: createFleet(spots),
           isIdle: false,
           now: 60_000,
         }),
@@ -176,7 +180,11 @@
     }
     const onDemandAt = (spots: number) =>
       sumCounts(
-        planner.plan({ upstreams: fleet([spots]), isIdle: false, now: 60_000 }),
+        planner.plan({
+          upstreams: createFleet([spots]),
+          isIdle: false,
+          now: 60_000,
+        }),
         false,
       );
     expect(onDemandAt(4)).toBe(0);
@@ -188,7 +196,7 @@
     const spotsAt = (now: number, prefillSpeed: number | undefined) => {
       const readWork = 4 * Math.max(0, now);
       planner.observe(
-        { readWork, prefillSpeed: prefillSpeed, requests: 0 },
+        { readWork, prefillSpeed, requests: 0 },
         now,
       );
       const orders = planner.plan({ upstreams: [], isIdle: false, now });
@@ -212,7 +220,7 @@
     // The load requires the maximum number of spot upstreams in every zone.
     const planner = createPlannerUnderLoad(7.5, 60_000);
     const plan = (spots: number[], now: number) =>
-      planner.plan({ upstreams: fleet(spots), isIdle: false, now });
+      planner.plan({ upstreams: createFleet(spots), isIdle: false, now });
     const spots = plan([10, 10, 10, 10], 60_000).filter(({ isSpot }) => isSpot);
     expect(spots.map(({ count }) => count)).toEqual([10, 10, 10, 10]);
     for (const order of spots) {
@@ -230,7 +238,7 @@
     const planner = createPlannerUnderLoad(2, 60_000);
     const plan = (after: number) =>
       planner.plan({
-        upstreams: fleet([3, 3, 3, 3]),
+        upstreams: createFleet([3, 3, 3, 3]),
         isIdle: false,
         now: 60_000 + after,
       });
@@ -250,7 +258,7 @@
       work += 0.2 * INTERVAL;
       planner.observe({ readWork: work, prefillSpeed: 1, requests: 0 }, now);
       const orders = planner.plan({
-        upstreams: fleet([spots / 4, spots / 4, spots / 4, spots / 4]),
+        upstreams: createFleet([spots / 4, spots / 4, spots / 4, spots / 4]),
         isIdle: false,
         now,
       });
@@ -276,7 +284,7 @@
         now,
       );
       const orders = planner.plan({
-        upstreams: fleet([3, 3, 3, 3], 4),
+        upstreams: createFleet([3, 3, 3, 3], 4),
         isIdle: false,
         now,
       });
@@ -294,7 +302,7 @@
         now,
       );
       return planner.plan({
-        upstreams: fleet([3, 3, 3, 3], 4),
+        upstreams: createFleet([3, 3, 3, 3], 4),
         isIdle: false,
         now,
       });
@@ -329,7 +337,7 @@
         cloud.reclaim(zone, {
           now,
           notice: 2500,
-          unavailableFor: unavailableFor,
+          unavailableFor,
         });
       }
     }
--- a/packages/serving/isolated_quota_test.ts
+++ b/packages/serving/isolated_quota_test.ts
@@ -41,24 +41,24 @@
   }
 }
 
-function makeEntries(count: number): IsolatedEntry[] {
+function createEntries(count: number): IsolatedEntry[] {
   return Array.from({ length: count }, (_, at) => new IsolatedEntry(`e${at}`));
 }
 
 describe("quotas while no control replica is reachable", () => {
   test("serve requests within the share of the entries that reach each other", () => {
-    const entries = makeEntries(8);
-    let asked = 0;
+    const entries = createEntries(8);
+    let requested = 0;
     let served = 0;
     for (let now = 0; now < 20_000; now += REPORT_INTERVAL) {
       exchangeReports(entries, { now, receives: () => true });
       // All callers use two of the entries; the load is within 8 of 12 shares.
       for (const { quota } of entries.slice(0, 2)) {
-        asked += 1;
+        requested += 1;
         served += quota.charge(workspace, { amount: 60, now }).ok ? 1 : 0;
       }
     }
-    expect(served / asked).toBeGreaterThan(0.95);
+    expect(served / requested).toBeGreaterThan(0.95);
   });
 
   test("bound the sum over both sides of a partition", () => {
@@ -97,7 +97,7 @@
 
 /** Callers request 4.5 times the rate from entries of both halves. */
 function expectBounded(steps: [number, number][]): void {
-  const entries = makeEntries(12);
+  const entries = createEntries(12);
   const half = (at: number) => at < 6;
   let now = 0;
   let reportedAt = -REPORT_INTERVAL;
--- a/packages/serving/notice_threshold.ts
+++ b/packages/serving/notice_threshold.ts
@@ -40,9 +40,9 @@
   /**
    * Returns whether to announce a dispatch; if so, it counts towards the rate.
    */
-  admit(readTime: Milliseconds, now: Milliseconds): boolean {
+  admit(prefillTime: Milliseconds, now: Milliseconds): boolean {
     this.#adapt(now);
-    const isAdmitted = readTime >= this.#threshold;
+    const isAdmitted = prefillTime >= this.#threshold;
     this.#counted += isAdmitted ? 1 : 0;
     return isAdmitted;
   }
--- a/packages/serving/preferred_upstreams.ts
+++ b/packages/serving/preferred_upstreams.ts
@@ -18,7 +18,7 @@
   constructor(part: string | undefined, upstreams: readonly KnownUpstream[]) {
     this.#preferred = part === undefined
       ? []
-      : rank(part, upstreams).slice(0, 2);
+      : rankUpstreams(part, upstreams).slice(0, 2);
   }
 
   /**
@@ -34,7 +34,10 @@
   }
 }
 
-function rank(part: string, upstreams: readonly KnownUpstream[]): string[] {
+function rankUpstreams(
+  part: string,
+  upstreams: readonly KnownUpstream[],
+): string[] {
   const ranked = upstreams.map(({ record }) => ({
     id: record.id,
     // The name survives a restart of the upstream, so its rank stays the same.
--- a/packages/serving/prefix_cache_estimate.ts
+++ b/packages/serving/prefix_cache_estimate.ts
@@ -42,11 +42,11 @@
    * @param prefilledAt When its prefill is expected to be complete.
    */
   recordPart(part: string, prefilledAt: Milliseconds): void {
-    const known = this.#uses.get(part);
+    const existing = this.#uses.get(part);
     this.#uses.delete(part);
     this.#uses.set(part, {
       tokensBefore: this.#processedTokens,
-      prefilledAt: Math.min(prefilledAt, known?.prefilledAt ?? Infinity),
+      prefilledAt: Math.min(prefilledAt, existing?.prefilledAt ?? Infinity),
     });
     if (this.#uses.size > MAX_PARTS) {
       this.#uses.delete(this.#uses.keys().next().value!);
--- a/packages/serving/simulated_balancers.ts
+++ b/packages/serving/simulated_balancers.ts
@@ -233,11 +233,11 @@
     });
   }
 
-  #isAnnounced(entry: number, readTime: Milliseconds): boolean {
+  #isAnnounced(entry: number, duration: Milliseconds): boolean {
     const { notices } = this.#options;
     return notices === "longest"
-      ? this.#thresholds[entry]!.admit(readTime, this.#now)
-      : notices === "all" && readTime >= MIN_ANNOUNCED_PREFILL;
+      ? this.#thresholds[entry]!.admit(duration, this.#now)
+      : notices === "all" && duration >= MIN_ANNOUNCED_PREFILL;
   }
 
   /** Adds the prefill of a prompt to the engine's backlog. */
--- a/packages/serving/workspace_quota_test.ts
+++ b/packages/serving/workspace_quota_test.ts
@@ -64,7 +64,7 @@
     exchangeCharges(entries, 0);
     // Before the restart, a full window's quota was spent at a constant rate.
     let granted = 0;
-    let most = 0;
+    let maxWindowSum = 0;
     const spentBefore = (now: number) => 9000 * Math.max(0, 1 - now / 8000);
     for (let now = 0; now < 8000; now += 10) {
       if (now % 300 === 0) {
@@ -73,9 +73,9 @@
       for (const quota of entries) {
         granted += quota.charge(workspace, { amount: 10, now }).ok ? 10 : 0;
       }
-      most = Math.max(most, granted + spentBefore(now));
+      maxWindowSum = Math.max(maxWindowSum, granted + spentBefore(now));
     }
-    expect(most).toBeLessThanOrEqual(9000 * 1.1 + 850);
+    expect(maxWindowSum).toBeLessThanOrEqual(9000 * 1.1 + 850);
   });
 
   test("serves a request larger than the burst with a full bucket", () => {
@@ -171,7 +171,7 @@
   const bound = (workspace.rate * window / 1000 + workspace.burst) * 1.1 +
     tolerance;
   let total = 0;
-  let most = 0;
+  let maxWindowSum = 0;
   let first = 0;
   for (const { at, amount } of granted) {
     total += amount;
@@ -179,9 +179,9 @@
       total -= granted[first]!.amount;
       first += 1;
     }
-    most = Math.max(most, total);
+    maxWindowSum = Math.max(maxWindowSum, total);
   }
-  expect(most).toBeLessThanOrEqual(bound);
+  expect(maxWindowSum).toBeLessThanOrEqual(bound);
 }
 
 function exchangeCharges(
