--- a/packages/serving/chosen_upstream.ts
+++ b/packages/serving/chosen_upstream.ts
@@ -20,6 +20,6 @@
   readonly waiting: Milliseconds;
   /** Estimated time to first token. */
   readonly expectedFirstTokenTime: Milliseconds;
-  /** Upstream to fetch missing parts from, if any has them. */
+  /** Upstream to fetch missing parts from; undefined without a fetch. */
   readonly source: KnownUpstream | undefined;
 };
--- a/packages/serving/notice_threshold_test.ts
+++ b/packages/serving/notice_threshold_test.ts
@@ -16,7 +16,7 @@
 // and takes up the processor time of the entries.
 describe("notices between entries", () => {
   test(
-    "stay below the maximum rate at 200 entries without increasing latency much",
+    "have a bounded rate at 200 entries without increasing latency much",
     () => {
       const all = simulate(200, "all");
       const longest = simulate(200, "longest");
--- a/packages/serving/shared_quota_test.ts
+++ b/packages/serving/shared_quota_test.ts
@@ -148,7 +148,7 @@
 }
 
 describe("a quota that entries share", () => {
-  test("is fully usable again soon after a partitioned entry reconnects", () => {
+  test("is used up again soon after a partitioned entry reconnects", () => {
     const simulation = new QuotaSimulation(4);
     requestEvenly(simulation, { rateMultiple: 4, until: 6000 });
     simulation.entries[0]!.isPartitioned = true;
--- a/packages/serving/workspace_quota.ts
+++ b/packages/serving/workspace_quota.ts
@@ -29,8 +29,8 @@
 /** Maximum share of a bucket's capacity that a restarted entry starts with. */
 const RESTART_LEVEL_SHARE = 0.5;
 /**
- * Share of the tolerated excess that the initial levels of all entries add up
- * to if they restart at once.
+ * Maximum share of the tolerated excess that the initial levels of all entries
+ * add up to if they restart at once.
  */
 const RESTART_EXCESS_SHARE = 0.8;
 /**
@@ -68,7 +68,7 @@
 
 /** Age up to which the charges of the other entries count as current. */
 const FRESHNESS_WINDOW: Milliseconds = 250;
-/** Maximum demand of a workspace as a multiple of its rate. */
+/** Assumed maximum demand of a workspace as a multiple of its rate. */
 const MAX_SURGE_FACTOR = 8;
 
 /**
