--- a/apps/heroncleatd/common/actor.ts
+++ b/apps/heroncleatd/common/actor.ts
@@ -1,12 +1,11 @@
 import { dispatch, type Ref, spawn, stop } from "nact";
 import type { Log } from "./log.ts";
 
-/** What an actor is built from. */
 type ActorOptions<Message> = {
   readonly name: string;
   readonly handle: (message: Message) => void | Promise<void>;
   readonly log: Log;
-  /** Messages that may wait; more are refused. */
+  /** Maximum number of queued messages; further ones are rejected. */
   readonly mailboxLimit?: number;
 };
 
@@ -14,23 +13,23 @@
 const DRAIN = "drain";
 
 /**
- * A nact actor with a bounded mailbox of its own. nact takes one message in
- * each turn of the event loop, which bounds a busy actor to a few thousand a
- * second; so the messages wait here, and one nact message takes all of them.
- * State lives in the object that handles the messages: one that throws is
- * logged, and the actor goes on with the next.
+ * A nact actor with its own bounded mailbox. nact processes one message per
+ * turn of the event loop, which limits throughput, so messages are queued here
+ * and one nact message drains the whole queue. State lives in the object that
+ * handles the messages. A handler that throws is logged, and the actor
+ * continues with the next message.
  */
 export class Actor<Message> {
   readonly #options: ActorOptions<Message>;
   readonly #reference: Ref<typeof DRAIN>;
-  readonly #limit: number;
-  #waiting: Message[] = [];
-  #draining = false;
-  #stopped = false;
+  readonly #mailboxLimit: number;
+  #mailbox: Message[] = [];
+  #isDraining = false;
+  #isStopped = false;
 
   constructor(parent: Ref<never>, options: ActorOptions<Message>) {
     this.#options = options;
-    this.#limit = options.mailboxLimit ?? DEFAULT_MAILBOX_LIMIT;
+    this.#mailboxLimit = options.mailboxLimit ?? DEFAULT_MAILBOX_LIMIT;
     this.#reference = spawn(
       parent,
       async (state: null) => {
@@ -48,41 +47,44 @@
     );
   }
 
-  /** Sends a message; false means that it was refused. */
+  /**
+   * Queues a message. Returns false if it was rejected because the mailbox is
+   * full or the actor has stopped.
+   */
   send(message: Message): boolean {
-    if (this.#stopped || this.#waiting.length >= this.#limit) {
+    if (this.#isStopped || this.#mailbox.length >= this.#mailboxLimit) {
       return false;
     }
-    this.#waiting.push(message);
+    this.#mailbox.push(message);
     this.#schedule();
     return true;
   }
 
   stop(): void {
-    if (!this.#stopped) {
-      this.#stopped = true;
+    if (!this.#isStopped) {
+      this.#isStopped = true;
       stop(this.#reference);
     }
   }
 
   #schedule(): void {
-    if (!this.#draining) {
-      this.#draining = true;
+    if (!this.#isDraining) {
+      this.#isDraining = true;
       dispatch(this.#reference, DRAIN);
     }
   }
 
   async #drain(): Promise<void> {
-    const messages = this.#waiting;
-    this.#waiting = [];
+    const messages = this.#mailbox;
+    this.#mailbox = [];
     for (const message of messages) {
-      if (this.#stopped) {
+      if (this.#isStopped) {
         return;
       }
       await this.#handle(message);
     }
-    this.#draining = false;
-    if (this.#waiting.length > 0 && !this.#stopped) {
+    this.#isDraining = false;
+    if (this.#mailbox.length > 0 && !this.#isStopped) {
       this.#schedule();
     }
   }
@@ -99,7 +101,7 @@
   }
 
   #logFailure(error: Error | undefined): void {
-    this.#options.log.error("A message failed", {
+    this.#options.log.error("Handling a message failed", {
       actor: this.#options.name,
       error: String(error?.stack ?? error),
     });
--- a/apps/heroncleatd/common/control_client.ts
+++ b/apps/heroncleatd/common/control_client.ts
@@ -1,32 +1,32 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { PeerPool } from "@heroncleat/transport";
 
-/** What a replica answers when it can't serve a call itself. */
+/** Reply of a replica that can't serve a call because it isn't the leader. */
 type Redirect = { readonly kind: "not_leader"; readonly leader: string };
 
-/** A call that no replica could serve in time. */
+/** No replica served the call in time. */
 type Unavailable = {
   readonly kind: "unavailable";
-  /** Whether some replica may have acted on the call. */
+  /** Whether a replica may have processed the call. */
   readonly sent: boolean;
 };
 
-const LEAST_ATTEMPT = 50;
+const MIN_ATTEMPT_MS = 50;
 
 function isRedirect(reply: { readonly kind: string }): reply is Redirect {
   return reply.kind === "not_leader";
 }
 
 /**
- * Calls the control group: the replica that answered last, then the others,
- * following redirects to the leader.
+ * Calls the control group. Starts with the replica that replied last, follows
+ * redirects to the leader, and otherwise tries the replicas in turn.
  */
 export class ControlClient {
   readonly #addresses: readonly string[];
   readonly #pool: PeerPool;
   readonly #now: () => Milliseconds;
   #preferred: string;
-  #turn = 0;
+  #nextAddress = 0;
 
   constructor(
     addresses: readonly string[],
@@ -39,31 +39,34 @@
   }
 
   /**
-   * Calls until a replica serves the call or the time is up. Every method is
-   * safe to repeat: commands carry identifiers.
+   * Retries until a replica serves the call or the timeout expires. Every
+   * method is safe to repeat, because commands carry identifiers.
    */
   async call<Reply extends { readonly kind: string }>(
     method: string,
     options: { parameters: unknown; timeout: Milliseconds },
   ): Promise<Exclude<Reply, Redirect> | Unavailable> {
-    const until = this.#now() + options.timeout;
-    let sent = false;
+    const deadline = this.#now() + options.timeout;
+    let wasSent = false;
     while (true) {
-      const left = until - this.#now();
-      if (left <= 0) {
-        return { kind: "unavailable", sent };
+      const remaining = deadline - this.#now();
+      if (remaining <= 0) {
+        return { kind: "unavailable", sent: wasSent };
       }
       const reply = await this.#tryOne<Reply>(method, {
         parameters: options.parameters,
-        timeout: Math.max(LEAST_ATTEMPT, Math.min(left, options.timeout / 2)),
+        timeout: Math.max(
+          MIN_ATTEMPT_MS,
+          Math.min(remaining, options.timeout / 2),
+        ),
       });
       if (reply !== undefined && !isRedirect(reply)) {
         return reply as Exclude<Reply, Redirect>;
       }
-      sent ||= reply === undefined;
+      wasSent ||= reply === undefined;
       this.#redirect(reply);
       if (reply === undefined || reply.leader === "") {
-        await new Promise((resolve) => setTimeout(resolve, LEAST_ATTEMPT));
+        await new Promise((resolve) => setTimeout(resolve, MIN_ATTEMPT_MS));
       }
     }
   }
@@ -88,7 +91,8 @@
       this.#preferred = reply.leader;
       return;
     }
-    this.#turn += 1;
-    this.#preferred = this.#addresses[this.#turn % this.#addresses.length]!;
+    this.#nextAddress += 1;
+    this.#preferred = this
+      .#addresses[this.#nextAddress % this.#addresses.length]!;
   }
 }
--- a/apps/heroncleatd/common/create_bounded_logs.ts
+++ b/apps/heroncleatd/common/create_bounded_logs.ts
@@ -1,25 +1,26 @@
 import type { Log } from "./log.ts";
-import { RateBudget } from "./rate_budget.ts";
+import { RateLimiter } from "./rate_limiter.ts";
 
-/** Lines a second that a process writes at most, and their burst. */
+/** Rate limit of a process's log lines. */
 const LINES_PER_SECOND = 200;
 const LINE_BURST = 1000;
-/** Bytes that may wait for a reader that is slow or gone. */
-const MOST_WAITING_BYTES = 1024 * 1024;
+/** Limit of buffered output while the reader is slow or gone. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
 type Context = Record<string, string | number>;
 
 /**
- * Makes logs of one JSON object a line on standard output. Beyond a budget,
- * or while nobody reads, lines are dropped and counted; writing never waits.
+ * Creates logs that write one JSON object per line to standard output. Lines
+ * beyond the rate limit or the buffer limit are dropped and counted; writing
+ * never blocks.
  */
 export function createBoundedLogs(processName: string): (part: string) => Log {
-  const budget = new RateBudget(LINES_PER_SECOND, LINE_BURST);
+  const limiter = new RateLimiter(LINES_PER_SECOND, LINE_BURST);
   let droppedBefore = 0;
-  const write = (level: string, sentence: string, context: Context) => {
-    const isFull = process.stdout.writableLength > MOST_WAITING_BYTES;
+  const write = (level: string, message: string, context: Context) => {
+    const isFull = process.stdout.writableLength > MAX_BUFFERED_BYTES;
     const isUrgent = level === "error";
-    if (isFull || !(isUrgent || budget.take(performance.now()))) {
+    if (isFull || !(isUrgent || limiter.tryConsume(performance.now()))) {
       droppedBefore += 1;
       return;
     }
@@ -27,7 +28,7 @@
       time: new Date().toISOString(),
       level,
       process: processName,
-      message: sentence,
+      message,
       ...context,
       ...droppedBefore > 0 ? { droppedBefore } : {},
     };
@@ -35,13 +36,13 @@
     process.stdout.write(`${JSON.stringify(line)}\n`);
   };
   return (part) => {
-    const at = (level: string) => (sentence: string, context: Context = {}) =>
-      write(level, `${part}: ${sentence}`, context);
+    const logAt = (level: string) => (message: string, context: Context = {}) =>
+      write(level, `${part}: ${message}`, context);
     return {
       debug: () => {},
-      info: at("info"),
-      warn: at("warn"),
-      error: at("error"),
+      info: logAt("info"),
+      warn: logAt("warn"),
+      error: logAt("error"),
     };
   };
 }
--- a/apps/heroncleatd/common/create_exposed_metrics.ts
+++ b/apps/heroncleatd/common/create_exposed_metrics.ts
@@ -7,8 +7,8 @@
 } from "prom-client";
 import type { Metrics } from "./metrics.ts";
 
-/** Upper bounds of the histograms of times, in ms. */
-const TIME_BOUNDS = [
+/** Upper bounds of the buckets of duration histograms. */
+const TIME_BOUNDS_MS = [
   5,
   10,
   25,
@@ -24,26 +24,29 @@
 ];
 const PREFIX = "heroncleat_";
 /**
- * Pause between two samples of the event loop's delay, in ms. Each one wakes an
- * idle process: with the library's 10 ms that is 99 times a second and 0.5 % of
- * a core, most of what an idle entry takes.
+ * Interval between two samples of the event loop's delay. Each sample wakes an
+ * idle process, so the library's default of 10 ms would use noticeable
+ * processor time.
  */
-const LOOP_SAMPLE_PAUSE = 500;
+const EVENT_LOOP_SAMPLE_MS = 500;
 
-/** Metrics that are read from this process as text. */
+/** Metrics that other processes scrape. */
 type ExposedMetrics = Metrics & {
-  /** All of them in the Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   readonly render: () => Promise<string>;
 };
 
-/** Makes counters, gauges and histograms that are created at first use. */
+/**
+ * Creates metrics whose counters, gauges and histograms are registered on first
+ * use.
+ */
 export function createExposedMetrics(): ExposedMetrics {
   const registry = new Registry();
   const processRegistry = new Registry();
   collectDefaultMetrics({
     register: processRegistry,
     prefix: PREFIX,
-    eventLoopMonitoringPrecision: LOOP_SAMPLE_PAUSE,
+    eventLoopMonitoringPrecision: EVENT_LOOP_SAMPLE_MS,
   });
   const registers = [registry];
   const counters = new Map<string, Counter>();
@@ -53,7 +56,7 @@
     increment: (name, by = 1) =>
       getOrCreate(counters, name, () =>
         new Counter({
-          name: `${nameOf(name)}_total`,
+          name: `${prometheusName(name)}_total`,
           help: `Count of ${name}`,
           registers,
         })).inc(by),
@@ -62,38 +65,42 @@
         gauges,
         name,
         () =>
-          new Gauge({ name: nameOf(name), help: `Now: ${name}`, registers }),
+          new Gauge({
+            name: prometheusName(name),
+            help: `Now: ${name}`,
+            registers,
+          }),
       )
         .set(value),
     timing: (name, milliseconds) =>
       getOrCreate(histograms, name, () =>
         new Histogram({
-          name: `${nameOf(name)}_ms`,
+          name: `${prometheusName(name)}_ms`,
           help: `Milliseconds of ${name}`,
-          buckets: TIME_BOUNDS,
+          buckets: TIME_BOUNDS_MS,
           registers,
         })).observe(milliseconds),
     close: () => {
       registry.clear();
       processRegistry.clear();
     },
-    // What heroncleat counts comes first: of a record that kept 4,000 bytes of
-    // each reading, nothing else than the process's own was left.
+    // The application's metrics come first, so that a truncated scrape still
+    // contains them.
     render: async () =>
       `${await registry.metrics()}\n${await processRegistry.metrics()}`,
   };
 }
 
 function getOrCreate<Metric>(
-  known: Map<string, Metric>,
+  metrics: Map<string, Metric>,
   name: string,
   create: () => Metric,
 ): Metric {
-  const metric = known.get(name) ?? create();
-  known.set(name, metric);
+  const metric = metrics.get(name) ?? create();
+  metrics.set(name, metric);
   return metric;
 }
 
-function nameOf(name: string): string {
+function prometheusName(name: string): string {
   return PREFIX + name.replaceAll(/[^a-zA-Z0-9_]/g, "_");
 }
--- a/apps/heroncleatd/common/create_exposed_metrics_test.ts
+++ b/apps/heroncleatd/common/create_exposed_metrics_test.ts
@@ -1,6 +1,6 @@
 import { createExposedMetrics } from "./create_exposed_metrics.ts";
 
-test("what heroncleat counts comes before what describes the process", async () => {
+test("renders the application's metrics before the process metrics", async () => {
   const metrics = createExposedMetrics();
   metrics.increment("quota.charged_tokens", 7);
   const text = await metrics.render();
@@ -10,8 +10,8 @@
   expect(text.indexOf("heroncleat_process_cpu")).toBeGreaterThan(own);
 });
 
-// An idle process woke up 99 times a second to measure how late it woke up.
-test("collecting metrics hardly wakes an idle process", async () => {
+// Guards against event loop sampling that wakes an idle process often.
+test("collecting metrics rarely wakes an idle process", async () => {
   const metrics = createExposedMetrics();
   await pause(300);
   const before = process.resourceUsage().voluntaryContextSwitches;
--- a/apps/heroncleatd/common/create_logs.ts
+++ b/apps/heroncleatd/common/create_logs.ts
@@ -5,30 +5,31 @@
 
 const LEVELS = ["trace", "debug", "info", "warn", "error"];
 
-/** Makes the logs of a process; each line is one JSON object on stderr. */
+/**
+ * Creates the logs of a process, which write one JSON object per line to
+ * stderr.
+ */
 export function createLogs(
   settings: LogSettings,
   processName: string,
 ): (part: string) => Log {
-  const least = LEVELS.indexOf(settings.level);
+  const minLevel = LEVELS.indexOf(settings.level);
   ROARR.write = (line) => {
     const { context } = JSON.parse(line);
     const level = getLogLevelName(context.logLevel);
-    if (LEVELS.indexOf(level) >= least) {
+    if (LEVELS.indexOf(level) >= minLevel) {
       process.stderr.write(`${line}\n`);
     }
   };
   return (part) => {
     const log = Roarr.child({ part, process: processName });
     return {
-      debug: (sentence, context = {}) =>
-        log.debug(context, `${part}: ${sentence}`),
-      info: (sentence, context = {}) =>
-        log.info(context, `${part}: ${sentence}`),
-      warn: (sentence, context = {}) =>
-        log.warn(context, `${part}: ${sentence}`),
-      error: (sentence, context = {}) =>
-        log.error(context, `${part}: ${sentence}`),
+      debug: (message, context = {}) =>
+        log.debug(context, `${part}: ${message}`),
+      info: (message, context = {}) => log.info(context, `${part}: ${message}`),
+      warn: (message, context = {}) => log.warn(context, `${part}: ${message}`),
+      error: (message, context = {}) =>
+        log.error(context, `${part}: ${message}`),
     };
   };
 }
--- a/apps/heroncleatd/common/create_metrics.ts
+++ b/apps/heroncleatd/common/create_metrics.ts
@@ -4,7 +4,7 @@
 import type { Log } from "./log.ts";
 import type { Metrics } from "./metrics.ts";
 
-/** Makes StatsD metrics; without an address nothing is sent. */
+/** Creates StatsD metrics; without an address nothing is sent. */
 export function createMetrics(
   settings: MetricSettings,
   log: Log,
@@ -15,7 +15,7 @@
     ...isOff ? {} : splitAddress(settings.address),
     prefix: settings.prefix,
     errorHandler: (error) =>
-      log.warn("Metrics can't be sent", { error: error.message }),
+      log.warn("Can't send metrics", { error: error.message }),
   });
   return {
     increment: (name, by = 1) => client.increment(name, by),
--- a/apps/heroncleatd/common/enable_roarr.ts
+++ b/apps/heroncleatd/common/enable_roarr.ts
@@ -1,6 +1,6 @@
 /**
- * Roarr decides on loading whether it writes anything, so this module is
- * imported before it. The level in the settings decides what is written.
+ * Roarr reads this variable when it is loaded, so this module must be imported
+ * before it. The log level in the settings decides which lines are written.
  *
  * @module
  */
--- a/apps/heroncleatd/common/exit_code.ts
+++ b/apps/heroncleatd/common/exit_code.ts
@@ -1,4 +1,4 @@
-/** Exit codes of the daemon; docs/OPERATIONS.md explains them. */
+/** Exit codes of the daemon, explained in docs/OPERATIONS.md. */
 export const ExitCode = {
   stopped: 0,
   failed: 1,
--- a/apps/heroncleatd/common/key_ring.ts
+++ b/apps/heroncleatd/common/key_ring.ts
@@ -1,8 +1,8 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 
 /**
- * Keys and their holders. A key is compared with every known one by digest in
- * constant time, so the time taken says nothing about the keys.
+ * Keys and their holders. A key's digest is compared with that of every known
+ * key in constant time, so that timing reveals nothing about the keys.
  */
 export class KeyRing {
   readonly #digests: readonly { holder: string; digest: Buffer }[];
@@ -14,13 +14,13 @@
     }));
   }
 
-  /** The holder of a key, or nothing for an unknown one. */
+  /** Returns the holder of a key, or undefined if the key is unknown. */
   holderOf(key: string): string | undefined {
     const digest = digestOf(key);
     let holder: string | undefined;
-    for (const known of this.#digests) {
-      if (timingSafeEqual(known.digest, digest)) {
-        holder = known.holder;
+    for (const candidate of this.#digests) {
+      if (timingSafeEqual(candidate.digest, digest)) {
+        holder = candidate.holder;
       }
     }
     return holder;
--- a/apps/heroncleatd/common/load_settings.ts
+++ b/apps/heroncleatd/common/load_settings.ts
@@ -4,20 +4,20 @@
 import { parse } from "ini";
 import { Result } from "true-myth/result";
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function loadSettings(path: string): Result<Settings, Fault> {
   let text: string;
   try {
     text = readFileSync(path, "utf8");
   } catch (error) {
-    return refuse([
+    return createSettingsError([
       `${path}: the file can't be read (${(error as Error).message}). ` +
       "Remedy: pass the path of a readable INI file with --settings.",
     ]);
   }
-  const parsed = parseSettings(toSections(parse(text)));
+  const parsed = parseSettings(toPlainObject(parse(text)));
   if ("problems" in parsed) {
-    return refuse(
+    return createSettingsError(
       parsed.problems.map((problem) =>
         `${path}: ${problem.key || "the file"}: found ${problem.found}. ` +
         `Remedy: ${problem.remedy}.`
@@ -25,15 +25,24 @@
     );
   }
   const problems = findConflicts(parsed.settings, path);
-  return problems.length > 0 ? refuse(problems) : Result.ok(parsed.settings);
+  return problems.length > 0
+    ? createSettingsError(problems)
+    : Result.ok(parsed.settings);
 }
 
-function refuse(problems: readonly string[]): Result<Settings, Fault> {
+function createSettingsError(
+  problems: readonly string[],
+): Result<Settings, Fault> {
   return Result.err(createFault("settings", problems.join("\n")));
 }
 
-/** The INI library makes objects without a prototype; the schema wants plain. */
-function toSections(value: Record<string, unknown>): Record<string, unknown> {
+/**
+ * The INI parser returns objects without a prototype; the schema validator
+ * expects plain objects.
+ */
+function toPlainObject(
+  value: Record<string, unknown>,
+): Record<string, unknown> {
   return JSON.parse(JSON.stringify(value)) as Record<string, unknown>;
 }
 
--- a/apps/heroncleatd/common/log.ts
+++ b/apps/heroncleatd/common/log.ts
@@ -1,7 +1,7 @@
-/** Writes short sentences with the prefix of one part. */
+/** Log of one component, whose name prefixes every message. */
 export type Log = {
-  debug(sentence: string, context?: Record<string, string | number>): void;
-  info(sentence: string, context?: Record<string, string | number>): void;
-  warn(sentence: string, context?: Record<string, string | number>): void;
-  error(sentence: string, context?: Record<string, string | number>): void;
+  debug(message: string, context?: Record<string, string | number>): void;
+  info(message: string, context?: Record<string, string | number>): void;
+  warn(message: string, context?: Record<string, string | number>): void;
+  error(message: string, context?: Record<string, string | number>): void;
 };
--- a/apps/heroncleatd/common/memoize.ts
+++ b/apps/heroncleatd/common/memoize.ts
@@ -1,5 +1,5 @@
-/** A function that is worked out once, when it is first called. */
-export function memoize<Value>(work: () => Value): () => Value {
-  let known: { readonly value: Value } | undefined;
-  return () => (known ??= { value: work() }).value;
+/** Returns a function that computes a value on its first call and caches it. */
+export function memoize<Value>(compute: () => Value): () => Value {
+  let cached: { readonly value: Value } | undefined;
+  return () => (cached ??= { value: compute() }).value;
 }
--- a/apps/heroncleatd/common/metrics.ts
+++ b/apps/heroncleatd/common/metrics.ts
@@ -1,4 +1,4 @@
-/** Counts and times of one process. */
+/** Metrics of one process. */
 export type Metrics = {
   increment(name: string, by?: number): void;
   gauge(name: string, value: number): void;
--- a/apps/heroncleatd/common/parse_json.ts
+++ b/apps/heroncleatd/common/parse_json.ts
@@ -2,7 +2,7 @@
 import { describeProblems, type Validator } from "@heroncleat/schema";
 import { Result } from "true-myth/result";
 
-/** Parses JSON bytes and checks them against a schema. */
+/** Parses JSON bytes and validates the value against a schema. */
 export function parseJson<Value>(
   bytes: Buffer,
   check: Validator<Value>,
--- a/apps/heroncleatd/common/probe_upstream.ts
+++ b/apps/heroncleatd/common/probe_upstream.ts
@@ -1,12 +1,12 @@
 import { connect } from "node:net";
 import { type Milliseconds, splitAddress } from "@heroncleat/base";
 
-/** Time for the connection; one within a region takes about 1 ms. */
+/** Generous for a connection within one region. */
 const PROBE_TIMEOUT: Milliseconds = 300;
 
 /**
- * Whether something still takes connections at an upstream's address. Nothing
- * is sent.
+ * Whether a TCP connection to an upstream's address can be opened. Sends no
+ * data.
  *
  * @param address host:port
  */
@@ -14,9 +14,9 @@
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
     const socket = connect({ host, port, timeout: PROBE_TIMEOUT });
-    const settle = (isThere: boolean) => {
+    const settle = (isReachable: boolean) => {
       socket.destroy();
-      resolve(isThere);
+      resolve(isReachable);
     };
     socket.once("connect", () => settle(true));
     socket.once("timeout", () => settle(false));
--- a/apps/heroncleatd/common/process_context.ts
+++ b/apps/heroncleatd/common/process_context.ts
@@ -5,7 +5,7 @@
 import type { Log } from "./log.ts";
 import type { Metrics } from "./metrics.ts";
 
-/** What all parts of a process share. */
+/** Dependencies shared by all parts of a process. */
 export type ProcessContext = {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -15,8 +15,8 @@
   /** Parent of all actors. */
   readonly system: Ref<never>;
   readonly log: (part: string) => Log;
-  /** Serves methods to the system's own processes. */
+  /** Registers RPC methods for the system's own processes. */
   readonly serve: (methods: Readonly<Record<string, MethodHandler>>) => void;
-  /** Ends the process because it can't go on. */
+  /** Stops the process after an unrecoverable error. */
   readonly fail: (error: unknown) => void;
 };
--- a/apps/heroncleatd/common/read_key_ring.ts
+++ b/apps/heroncleatd/common/read_key_ring.ts
@@ -4,7 +4,7 @@
 import { Result } from "true-myth/result";
 import { KeyRing } from "./key_ring.ts";
 
-const LEAST_CHARACTERS = 16;
+const MIN_KEY_LENGTH = 16;
 
 /** Reads an INI file of `holder = key` lines. */
 export function readKeyRing(
@@ -12,21 +12,29 @@
   setting: string,
 ): Result<KeyRing, Fault> {
   if (path === undefined) {
-    return refuse(setting, "the setting is missing", "name an INI file");
+    return createSettingsError(
+      setting,
+      "the setting is missing",
+      "name an INI file",
+    );
   }
   let keys: Record<string, unknown>;
   try {
     keys = parse(readFileSync(path, "utf8"));
   } catch (error) {
-    return refuse(setting, (error as Error).message, "create the file");
+    return createSettingsError(
+      setting,
+      (error as Error).message,
+      "create the file",
+    );
   }
   const checked: Record<string, string> = {};
   for (const [holder, key] of Object.entries(keys)) {
-    if (typeof key !== "string" || key.length < LEAST_CHARACTERS) {
-      return refuse(
+    if (typeof key !== "string" || key.length < MIN_KEY_LENGTH) {
+      return createSettingsError(
         setting,
         `the key of ${holder} in ${path} is too short`,
-        `use at least ${LEAST_CHARACTERS} random characters`,
+        `use at least ${MIN_KEY_LENGTH} random characters`,
       );
     }
     checked[holder] = key;
@@ -34,7 +42,7 @@
   return Result.ok(new KeyRing(checked));
 }
 
-function refuse(
+function createSettingsError(
   setting: string,
   cause: string,
   remedy: string,
--- a/apps/heroncleatd/common/read_limited_body.ts
+++ b/apps/heroncleatd/common/read_limited_body.ts
@@ -2,23 +2,23 @@
 import { createFault, type Fault } from "@heroncleat/base";
 import { Result } from "true-myth/result";
 
-/** Reads a request body of bounded size. */
+/** Reads a request body up to a maximum size. */
 export async function readLimitedBody(
   request: IncomingMessage,
-  mostBytes: number,
+  maxBytes: number,
 ): Promise<Result<Buffer, Fault>> {
   const declared = Number(request.headers["content-length"] ?? 0);
-  if (declared > mostBytes) {
-    return Result.err(describeTooLarge(mostBytes));
+  if (declared > maxBytes) {
+    return Result.err(createTooLargeFault(maxBytes));
   }
   const chunks: Buffer[] = [];
   let length = 0;
   try {
-    // The socket must outlive a refusal, or the answer would be lost with it.
+    // The socket must stay open, so that the error response can be sent.
     for await (const chunk of request.iterator({ destroyOnReturn: false })) {
       length += (chunk as Buffer).length;
-      if (length > mostBytes) {
-        return Result.err(describeTooLarge(mostBytes));
+      if (length > maxBytes) {
+        return Result.err(createTooLargeFault(maxBytes));
       }
       chunks.push(chunk as Buffer);
     }
@@ -31,10 +31,10 @@
   return Result.ok(Buffer.concat(chunks));
 }
 
-function describeTooLarge(mostBytes: number): Fault {
+function createTooLargeFault(maxBytes: number): Fault {
   return createFault(
     "too_large",
-    `The body is larger than ${mostBytes} bytes. Remedy: send a shorter one ` +
+    `The body is larger than ${maxBytes} bytes. Remedy: send a shorter one ` +
       "or raise entry.max_body_bytes.",
   );
 }
--- a/apps/heroncleatd/common/read_secret.ts
+++ b/apps/heroncleatd/common/read_secret.ts
@@ -2,7 +2,7 @@
 import { createFault, type Fault } from "@heroncleat/base";
 import { Result } from "true-myth/result";
 
-const LEAST_CHARACTERS = 16;
+const MIN_SECRET_LENGTH = 16;
 
 /** Reads the secret that the system's own processes and upstreams share. */
 export function readSecret(path: string): Result<string, Fault> {
@@ -16,11 +16,11 @@
         `(${(error as Error).message}). Remedy: create the file with mode 600.`,
     ));
   }
-  if (secret.length < LEAST_CHARACTERS) {
+  if (secret.length < MIN_SECRET_LENGTH) {
     return Result.err(createFault(
       "settings",
       `security.shared_secret_file: ${path} holds ${secret.length} ` +
-        `characters. Remedy: use at least ${LEAST_CHARACTERS} random ones.`,
+        `characters. Remedy: use at least ${MIN_SECRET_LENGTH} random ones.`,
     ));
   }
   return Result.ok(secret);
--- a/apps/heroncleatd/common/request_digest.ts
+++ b/apps/heroncleatd/common/request_digest.ts
@@ -1,30 +1,30 @@
 import { createHash } from "node:crypto";
 
-/** What of a request stays the same when its caller sends it again. */
-type RepeatedParts = {
+/** Parts of a request that stay the same when its caller repeats it. */
+type StableParts = {
   readonly method: string;
   readonly host: string;
   /** Path and query. */
   readonly target: string;
-  /** Name of the caller's workspace; empty where there is none. */
+  /** Name of the caller's workspace; empty if there is none. */
   readonly workspace: string;
   readonly body: Buffer;
 };
 
-/** Hexadecimal digits of a digest. */
-const DIGEST_LENGTH = 32;
+const DIGEST_HEX_DIGITS = 32;
 
 /**
- * Identifies a request by what its caller sends again: other headers, such as
- * the identifier of the attempt, differ from one time to the next, and a
- * workspace may hold several keys. Each part comes with its length, so that
- * none runs into the next one.
+ * Computes a digest that is the same for repetitions of a request. Headers are
+ * excluded because some differ between attempts, such as the attempt's
+ * identifier; keys are represented by their workspace, which may have several.
+ * Each part is prefixed with its length, so that adjacent parts can't be
+ * confused.
  */
-export function requestDigest(parts: RepeatedParts): string {
+export function requestDigest(parts: StableParts): string {
   const { method, host, target, workspace, body } = parts;
   const hash = createHash("sha256");
   for (const part of [method, host.toLowerCase(), target, workspace]) {
     hash.update(`${Buffer.byteLength(part)}:${part}`);
   }
-  return hash.update(body).digest("hex").slice(0, DIGEST_LENGTH);
+  return hash.update(body).digest("hex").slice(0, DIGEST_HEX_DIGITS);
 }
--- a/apps/heroncleatd/common/request_digest_test.ts
+++ b/apps/heroncleatd/common/request_digest_test.ts
@@ -8,7 +8,7 @@
   body: Buffer.from("a table"),
 };
 
-test("the digest is that of what a caller sends again", () => {
+test("a repeated request has the same digest", () => {
   expect(requestDigest(parts)).toBe(requestDigest({ ...parts }));
   expect(requestDigest({ ...parts, host: "INN.example" }))
     .toBe(requestDigest(parts));
@@ -22,6 +22,6 @@
   { workspace: "other" },
   { body: Buffer.from("a tablE") },
   { target: "/book?day=1inn", workspace: "" },
-])("another %o is another request", (other) => {
+])("a request with another %o has another digest", (other) => {
   expect(requestDigest({ ...parts, ...other })).not.toBe(requestDigest(parts));
 });
--- a/apps/heroncleatd/common/request_identity.ts
+++ b/apps/heroncleatd/common/request_identity.ts
@@ -1,13 +1,13 @@
-/** What tells a request from others, also when its caller sends it again. */
+/** Identifies a request across repetitions by its caller. */
 export type RequestIdentity = {
-  /** Names this sending of it in log lines. */
+  /** Identifier of this attempt, for log lines. */
   readonly attempt: string;
-  /** Name of the caller's workspace; empty where there is none. */
+  /** Name of the caller's workspace; empty if there is none. */
   readonly workspace: string;
-  /** The service, or model, whose upstreams run it. */
+  /** Service or model whose upstreams run the request. */
   readonly service: string;
-  /** Length of its body in bytes. */
+  /** Size of the body in bytes. */
   readonly size: number;
-  /** See requestDigest; worked out when it is first asked for. */
+  /** Returns the digest of requestDigest, computed on the first call. */
   readonly digest: () => string;
 };
--- a/apps/heroncleatd/common/running_role.ts
+++ b/apps/heroncleatd/common/running_role.ts
@@ -1,7 +1,7 @@
-/** A role of this process, started. */
+/** A role that this process runs. */
 export type RunningRole = {
-  /** Serves its methods and opens its listeners. */
+  /** Registers the role's RPC methods and opens its listeners. */
   start(): Promise<void>;
-  /** Leaves gracefully within the time limit. */
-  stop(limit: number): Promise<void>;
+  /** Shuts down gracefully within the time limit, in ms. */
+  stop(timeLimit: number): Promise<void>;
 };
--- a/apps/heroncleatd/common/send_fault.ts
+++ b/apps/heroncleatd/common/send_fault.ts
@@ -6,7 +6,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Answers with an error that says whether the request was run. */
+/** Sends an error response that states whether the request was run. */
 export function sendFault(
   response: ServerResponse,
   fault: Fault,
@@ -18,7 +18,7 @@
   if (fault.retryAfter !== undefined && !response.headersSent) {
     const seconds = fault.retryAfter / MS_PER_SECOND;
     body.error.retryAfter = seconds;
-    // The header takes whole seconds only; the body has the exact time.
+    // The header allows only whole seconds; the body contains the exact time.
     response.setHeader("retry-after", String(Math.ceil(seconds)));
   }
   if (options.entries !== undefined) {
--- a/apps/heroncleatd/common/send_json.ts
+++ b/apps/heroncleatd/common/send_json.ts
@@ -1,6 +1,8 @@
 import type { ServerResponse } from "node:http";
 
-/** Answers with JSON. */
+/**
+ * Sends a JSON response unless one has been sent or the connection is closed.
+ */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/apps/heroncleatd/common/serve_metrics.ts
+++ b/apps/heroncleatd/common/serve_metrics.ts
@@ -4,7 +4,7 @@
 
 const PATH = "/metrics";
 
-/** Serves metrics as text; a busy port is logged and harms nothing else. */
+/** Serves metrics as text over HTTP. A port that is in use is only logged. */
 export function serveMetrics(
   address: string,
   options: { render: () => Promise<string>; log: Log },
@@ -19,7 +19,7 @@
     response.end(text);
   });
   server.on("error", (error) => {
-    options.log.warn("Metrics can't be served. Remedy: free the address.", {
+    options.log.warn("Can't serve metrics. Remedy: free the address.", {
       address,
       error: error.message,
     });
--- a/apps/heroncleatd/common/settings_test.ts
+++ b/apps/heroncleatd/common/settings_test.ts
@@ -48,7 +48,7 @@
     expect(loaded.isErr && loaded.error.message).toContain("settings.ini");
   });
 
-  test("of any content is taken or refused, never thrown at", () => {
+  test("never throws, whatever the file contains", () => {
     const lines = fc.array(fc.oneof(
       fc.constantFrom(...GOOD.split("\n")),
       fc.string(),
--- /dev/null
+++ b/apps/heroncleatd/common/suspect_watcher.ts
@@ -0,0 +1,276 @@
+import type { Clock, Milliseconds } from "@heroncleat/base";
+import {
+  type CrashBook,
+  type CrashedRun,
+  CrashStanding,
+  type ReportedSuspect,
+  type SuspectKey,
+} from "@heroncleat/serving";
+import type { Log } from "./log.ts";
+import type { Metrics } from "./metrics.ts";
+import type { RequestIdentity } from "./request_identity.ts";
+
+/**
+ * Time after a broken connection during which its upstream may turn out to have
+ * crashed. The first heartbeat of the next instance may arrive seconds later.
+ */
+const UNDECIDED_TIMEOUT: Milliseconds = 8000;
+/**
+ * Time for which a successful probe stays valid, so that an upstream that
+ * resets many connections isn't probed for each of them.
+ */
+const PROBE_INTERVAL: Milliseconds = 100;
+/** Maximum number of undecided runs per upstream instance. */
+const MAX_UNDECIDED_RUNS = 200;
+
+type WatcherOptions = {
+  readonly registry: CrashBook;
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly metrics: Metrics;
+  /** Whether the host:port accepts connections. */
+  readonly probe: (address: string) => Promise<boolean>;
+  /** Whether a newer instance of the same upstream is running. */
+  readonly isReplaced: (upstream: string) => boolean;
+  /** Called with the identity of an instance that has crashed. */
+  readonly onCrash: (upstream: string, at: Milliseconds) => void;
+  /** Sends new or changed suspects to all other processes immediately. */
+  readonly report: (changed: readonly ReportedSuspect[]) => void;
+};
+
+/** A connection that broke while running a request. */
+type BrokenConnection = {
+  /** Identity of the upstream instance. */
+  readonly upstream: string;
+  /** host:port */
+  readonly address: string;
+  readonly sentAt: Milliseconds;
+};
+
+/** A run whose connection broke for a reason not known yet. */
+type UndecidedRun = { readonly key: SuspectKey; readonly run: CrashedRun };
+
+/**
+ * Distinguishes requests that crash upstreams from requests that happen to run
+ * on upstreams that crash. A connection may break for many reasons; a run
+ * counts as crashed only once its upstream accepts no more connections or a
+ * newer instance is running.
+ */
+export class SuspectWatcher {
+  readonly #options: WatcherOptions;
+  /** By identity of the upstream instance. */
+  readonly #undecided = new Map<string, UndecidedRun[]>();
+  /** Probes in flight, by identity of the upstream instance. */
+  readonly #probes = new Map<string, Promise<void>>();
+  /** When upstream instances last accepted a probe's connection. */
+  readonly #reachableAt = new Map<string, Milliseconds>();
+  /** Probe that a retry of a request waits for. */
+  readonly #pendingProbes = new WeakMap<RequestIdentity, Promise<void>>();
+  /** Number of copies of suspected requests that this entry runs, by digest. */
+  readonly #inFlightCopies = new Map<string, number>();
+
+  constructor(options: WatcherOptions) {
+    this.#options = options;
+  }
+
+  /**
+   * Resolves once the upstream whose connection last broke while running the
+   * request has been probed, or at once if there was none. Without this wait,
+   * retries could crash one upstream after another before the first crash is
+   * detected.
+   */
+  async waitForProbe(request: RequestIdentity): Promise<void> {
+    await this.#pendingProbes.get(request);
+  }
+
+  /** Returns how a request is treated if it is sent now. */
+  status(request: RequestIdentity): CrashStanding {
+    const { registry, clock } = this.#options;
+    return this.#maySuspect(request)
+      ? registry.standing(request.digest(), clock.steady())
+      : CrashStanding.unsuspected;
+  }
+
+  /** Whether this entry is running another copy of the request. */
+  isInFlight(request: RequestIdentity): boolean {
+    return this.#maySuspect(request) &&
+      this.#inFlightCopies.has(request.digest());
+  }
+
+  /**
+   * Records that a copy of a request is being sent. Returns a function to call
+   * when the copy has finished.
+   */
+  trackCopy(request: RequestIdentity): () => void {
+    if (this.status(request) === CrashStanding.unsuspected) {
+      return () => {};
+    }
+    const digest = request.digest();
+    this.#inFlightCopies.set(
+      digest,
+      (this.#inFlightCopies.get(digest) ?? 0) + 1,
+    );
+    return () => {
+      const remaining = this.#inFlightCopies.get(digest)! - 1;
+      if (remaining > 0) {
+        this.#inFlightCopies.set(digest, remaining);
+      } else {
+        this.#inFlightCopies.delete(digest);
+      }
+    };
+  }
+
+  /** Records a complete response to a request. */
+  recordCompletion(request: RequestIdentity): void {
+    const { registry, clock, log } = this.#options;
+    if (!this.#maySuspect(request)) {
+      return;
+    }
+    const revisionBefore = registry.revision;
+    if (registry.noteAnswer(request.digest(), clock.steady())) {
+      log.info("A request that upstreams crashed on has completed", {
+        request: request.attempt,
+        digest: request.digest(),
+      });
+      this.#report(revisionBefore);
+    }
+  }
+
+  /**
+   * Records that the connection to an upstream broke while running a request.
+   */
+  recordBrokenConnection(
+    request: RequestIdentity,
+    { upstream, address, sentAt }: BrokenConnection,
+  ): void {
+    const runs = this.#undecided.get(upstream) ?? [];
+    if (runs.length >= MAX_UNDECIDED_RUNS) {
+      return;
+    }
+    const endedAt = this.#options.clock.steady();
+    const run = { upstream, sentAt, endedAt };
+    runs.push({ key: suspectKeyOf(request), run });
+    this.#undecided.set(upstream, runs);
+    if (this.#options.isReplaced(upstream)) {
+      this.recordCrash(upstream);
+    } else {
+      this.#pendingProbes.set(request, this.#probe(upstream, address));
+    }
+  }
+
+  /**
+   * Records that an upstream instance has crashed, because it is unreachable or
+   * a newer instance is running.
+   */
+  recordCrash(upstream: string): void {
+    const { registry, clock, log, metrics, onCrash } = this.#options;
+    onCrash(upstream, clock.steady());
+    const runs = this.#undecided.get(upstream) ?? [];
+    this.#undecided.delete(upstream);
+    const revisionBefore = registry.revision;
+    let hasChanged = false;
+    for (const { key, run } of runs) {
+      if (!registry.noteCrash(key, run)) {
+        continue;
+      }
+      hasChanged = true;
+      const standing = registry.standing(key.request, clock.steady());
+      metrics.increment(`crashes.${standing}`);
+      log.info("An upstream crashed while running a request", {
+        digest: key.request,
+        upstream,
+        service: key.service,
+        workspace: key.workspace,
+        ranFor: Math.round(run.endedAt - run.sentAt),
+        standing,
+      });
+    }
+    if (hasChanged) {
+      this.#report(revisionBefore);
+    }
+  }
+
+  /** Merges suspects that other processes report. */
+  mergeReports(reported: readonly ReportedSuspect[]): void {
+    const { registry, clock, log, onCrash } = this.#options;
+    const now = clock.steady();
+    const changed = new Set(registry.learn(reported, now));
+    for (const { request, crashes } of reported) {
+      if (!changed.has(request)) {
+        continue;
+      }
+      for (const { upstream, endedAge } of crashes) {
+        onCrash(upstream, now - endedAge);
+      }
+      log.info(
+        "Received a report that upstreams crashed while running a request",
+        {
+          digest: request,
+          upstreams: crashes.map(({ upstream }) => upstream).join(" "),
+          standing: registry.standing(request, now),
+        },
+      );
+    }
+  }
+
+  /** Drops expired suspects, undecided runs and probe results. */
+  expire(): void {
+    const now = this.#options.clock.steady();
+    this.#options.registry.expire(now);
+    for (const [upstream, runs] of this.#undecided) {
+      const remaining = runs.filter(({ run }) =>
+        now - run.endedAt < UNDECIDED_TIMEOUT
+      );
+      if (remaining.length > 0) {
+        this.#undecided.set(upstream, remaining);
+      } else {
+        this.#undecided.delete(upstream);
+      }
+    }
+    for (const [upstream, reachableAt] of this.#reachableAt) {
+      if (now - reachableAt >= PROBE_INTERVAL) {
+        this.#reachableAt.delete(upstream);
+      }
+    }
+  }
+
+  #report(sinceRevision: number): void {
+    const { registry, clock, report } = this.#options;
+    report(registry.changesSince(sinceRevision, clock.steady()));
+  }
+
+  #maySuspect(request: RequestIdentity): boolean {
+    return this.#options.registry.mayKnow(request.size);
+  }
+
+  #probe(upstream: string, address: string): Promise<void> {
+    const pending = this.#probes.get(upstream);
+    if (pending !== undefined) {
+      return pending;
+    }
+    const { probe: connect, clock } = this.#options;
+    const reachableAt = this.#reachableAt.get(upstream) ?? -Infinity;
+    if (clock.steady() - reachableAt < PROBE_INTERVAL) {
+      return Promise.resolve();
+    }
+    const probe = connect(address).then((isReachable) => {
+      this.#probes.delete(upstream);
+      if (isReachable) {
+        this.#reachableAt.set(upstream, clock.steady());
+      } else {
+        this.recordCrash(upstream);
+      }
+    });
+    this.#probes.set(upstream, probe);
+    return probe;
+  }
+}
+
+function suspectKeyOf(request: RequestIdentity): SuspectKey {
+  return {
+    request: request.digest(),
+    workspace: request.workspace,
+    service: request.service,
+    size: request.size,
+  };
+}
--- a/apps/heroncleatd/entry/crash_sharing.ts
+++ b/apps/heroncleatd/entry/crash_sharing.ts
@@ -11,7 +11,7 @@
   RevisionCounter,
   startId,
 } from "@heroncleat/serving";
-import { CrashWatch } from "../common/crash_watch.ts";
+import { SuspectWatcher } from "../common/suspect_watcher.ts";
 import { probeUpstream } from "../common/probe_upstream.ts";
 import type { ProcessContext } from "../common/process_context.ts";
 
@@ -25,7 +25,7 @@
  * that was cut off, asks each one that it finds alive.
  */
 export class CrashSharing {
-  readonly watch: CrashWatch;
+  readonly watch: SuspectWatcher;
   readonly #context: ProcessContext;
   readonly #book: CrashBook;
   /** Incarnations of the upstreams that announce themselves, by name. */
@@ -44,15 +44,15 @@
       // Those of other services make rejections later, never wrong.
       countUpstreams: () => this.#upstreams.size,
     });
-    this.watch = new CrashWatch({
-      book: this.#book,
+    this.watch = new SuspectWatcher({
+      registry: this.#book,
       clock,
       log: context.log("crashes"),
       metrics,
       probe: probeUpstream,
-      isOver: (start) => !this.#living.has(start),
+      isReplaced: (start) => !this.#living.has(start),
       // The router leaves upstreams alone that fail.
-      onEnd: () => {},
+      onCrash: () => {},
       report: (news) => this.#tell([...this.#alive.values()], news),
     });
     context.serve({
@@ -84,7 +84,7 @@
       this.#living.add(this.startOf(name));
       if (before !== undefined) {
         this.#living.delete(ended);
-        this.watch.noteEnd(ended);
+        this.watch.recordCrash(ended);
       }
     }
   }
@@ -119,7 +119,7 @@
   #receive(parameters: unknown): void {
     const notice = { kind: "suspects", ...(parameters as object) };
     if (checkEntryNotice(notice)) {
-      this.watch.learn((notice as SuspectNotice).suspects);
+      this.watch.mergeReports((notice as SuspectNotice).suspects);
     }
   }
 
--- a/apps/heroncleatd/entry/entry_context.ts
+++ b/apps/heroncleatd/entry/entry_context.ts
@@ -1,7 +1,7 @@
 import type { EntrySettings } from "@heroncleat/schema";
 import type { Agent } from "undici";
 import type { ControlClient } from "../common/control_client.ts";
-import type { CrashWatch } from "../common/crash_watch.ts";
+import type { SuspectWatcher } from "../common/suspect_watcher.ts";
 import type { KeyRing } from "../common/key_ring.ts";
 import type { ProcessContext } from "../common/process_context.ts";
 import type { ConfigurationLease } from "./configuration_lease.ts";
@@ -15,7 +15,7 @@
   readonly lease: ConfigurationLease;
   readonly callers: KeyRing;
   /** Requests under which upstreams ended. */
-  readonly crashes: CrashWatch;
+  readonly crashes: SuspectWatcher;
   /** The identity of the present start of an upstream, by its name. */
   readonly startOf: (upstream: string) => string;
   /** Whether an upstream has said that it leaves, by its name. */
--- a/apps/heroncleatd/entry/request_host.ts
+++ b/apps/heroncleatd/entry/request_host.ts
@@ -125,8 +125,8 @@
     const token = `${request.record.id}#${attempt}`;
     const isRetry = exclude.length > 0;
     this.#closeAttempt("failed");
-    await context.crashes.decided(this.#identity);
-    const standing = context.crashes.standing(this.#identity);
+    await context.crashes.waitForProbe(this.#identity);
+    const standing = context.crashes.status(this.#identity);
     if (standing === CrashStanding.rejected) {
       this.#notify({ kind: "rejected" });
       return;
@@ -185,7 +185,7 @@
     const upstream = context.startOf(attempt.upstream);
     const sentAt = context.clock.steady();
     attempt.sentAt = context.clock.now();
-    this.#endTurn = context.crashes.begin(this.#identity);
+    this.#endTurn = context.crashes.trackCopy(this.#identity);
     attempt.stream = new UpstreamStream({
       agent: context.upstreams,
       address: attempt.address,
@@ -201,7 +201,7 @@
           this.#notify({ kind: "piece", attempt: number, place, piece });
         },
         onFinished: (pieces, reason) => {
-          context.crashes.noteAnswer(this.#identity);
+          context.crashes.recordCompletion(this.#identity);
           this.#notify({
             kind: "attempt_finished",
             attempt: number,
@@ -212,7 +212,7 @@
         onFailed: ({ message, isBroken }) => {
           if (isBroken && !context.isLeavingUpstream(attempt.upstream)) {
             const broken = { upstream, address, sentAt };
-            context.crashes.noteBreak(this.#identity, broken);
+            context.crashes.recordBrokenConnection(this.#identity, broken);
           }
           this.#notify({ kind: "attempt_failed", attempt: number, message });
         },
--- a/apps/heroncleatd/entry/service_dispatcher.ts
+++ b/apps/heroncleatd/entry/service_dispatcher.ts
@@ -48,7 +48,7 @@
 ): Promise<ServiceOutcome | undefined> {
   const { attempts } = options;
   const { clock, upstreams, crashes, startOf } = parts.context;
-  await crashes.decided(call.identity);
+  await crashes.waitForProbe(call.identity);
   const withheld = withhold(crashes, call.identity);
   if (withheld !== undefined) {
     attempts.lastFault = withheld;
@@ -70,7 +70,7 @@
   }
   const sentAt = clock.steady();
   const start = startOf(upstream);
-  const endTurn = crashes.begin(call.identity);
+  const endTurn = crashes.trackCopy(call.identity);
   const sent = await sendOnce(call, {
     agent: upstreams,
     address,
@@ -79,12 +79,16 @@
   });
   endTurn();
   if (sent.kind === "answered") {
-    crashes.noteAnswer(call.identity);
+    crashes.recordCompletion(call.identity);
   } else if (
     sent.kind === "unknown" && sent.isBroken &&
     !parts.context.isLeavingUpstream(upstream)
   ) {
-    crashes.noteBreak(call.identity, { upstream: start, address, sentAt });
+    crashes.recordBrokenConnection(call.identity, {
+      upstream: start,
+      address,
+      sentAt,
+    });
   }
   const good = sent.kind === "answered" &&
     sent.outcome.status < HTTP_SERVER_ERROR;
--- a/apps/heroncleatd/entry/service_dispatcher_test.ts
+++ b/apps/heroncleatd/entry/service_dispatcher_test.ts
@@ -110,11 +110,11 @@
       isLeavingUpstream: () => false,
       // The services of this test break off answers and stay.
       crashes: {
-        decided: () => Promise.resolve(),
-        standing: () => "unsuspected",
-        begin: () => () => {},
-        noteAnswer: () => {},
-        noteBreak: () => {},
+        waitForProbe: () => Promise.resolve(),
+        status: () => "unsuspected",
+        trackCopy: () => () => {},
+        recordCompletion: () => {},
+        recordBrokenConnection: () => {},
       },
       upstreams: agent,
       lease: { isValid: true },
--- a/apps/heroncleatd/entry/withhold.ts
+++ b/apps/heroncleatd/entry/withhold.ts
@@ -1,16 +1,16 @@
 import { createFault, type Fault } from "@heroncleat/base";
 import { CrashStanding } from "@heroncleat/serving";
-import type { CrashWatch } from "../common/crash_watch.ts";
+import type { SuspectWatcher } from "../common/suspect_watcher.ts";
 import type { RequestIdentity } from "../common/request_identity.ts";
 
 const RETRY_AFTER = 700;
 
 /** Why a request isn't sent on, or not now, where upstreams ended under it. */
 export function withhold(
-  crashes: CrashWatch,
+  crashes: SuspectWatcher,
   request: RequestIdentity,
 ): Fault | undefined {
-  const standing = crashes.standing(request);
+  const standing = crashes.status(request);
   if (standing === CrashStanding.rejected) {
     return createFault(
       "bad_request",
@@ -19,7 +19,7 @@
         "time after the upstreams were mended.",
     );
   }
-  if (standing === CrashStanding.single && crashes.isUnderWay(request)) {
+  if (standing === CrashStanding.single && crashes.isInFlight(request)) {
     return createFault(
       "overloaded",
       "Upstreams ended while they ran this very request, and another copy of " +
--- a/apps/heroncleatd/gateway/attempt.ts
+++ b/apps/heroncleatd/gateway/attempt.ts
@@ -71,12 +71,12 @@
 ): Promise<AttemptResult> {
   const { context, signal } = options;
   const { choice, clock, crashes } = context;
-  await crashes.decided(call.identity);
+  await crashes.waitForProbe(call.identity);
   const standing = await waitForTurn(call, options);
   if (standing === CrashStanding.rejected) {
     return { kind: "rejected" };
   }
-  if (standing === CrashStanding.single && crashes.isUnderWay(call.identity)) {
+  if (standing === CrashStanding.single && crashes.isInFlight(call.identity)) {
     return { kind: "held" };
   }
   const prefersIdle = standing !== CrashStanding.unsuspected;
@@ -139,7 +139,7 @@
     context.directory.remove(record.id, clock.steady());
   }
   if (answer.reason === MISDIRECTED || answer.reason === REFUSED) {
-    crashes.noteEnd(record.id);
+    crashes.recordCrash(record.id);
   }
   return { ...answer, trace, upstream: record.id };
 }
@@ -163,7 +163,7 @@
   options.context.noteDispatch(notice);
   const sentAt = clock.steady();
   const { record } = chosen.upstream;
-  const endTurn = crashes.begin(call.identity);
+  const endTurn = crashes.trackCopy(call.identity);
   const endRun = leaving.noteRun(call);
   let ended = false;
   let hasAnswered = false;
@@ -185,12 +185,12 @@
       endTurn();
       endRun(ending === AttemptEnding.whole);
       if (ending === AttemptEnding.whole) {
-        crashes.noteAnswer(call.identity);
+        crashes.recordCompletion(call.identity);
       }
       if (ending === AttemptEnding.broken && !call.signal.aborted) {
         // One that has said meanwhile that it leaves ends as it said.
         if (directory.get(record.id)?.record.state === "ready") {
-          crashes.noteBreak(call.identity, {
+          crashes.recordBrokenConnection(call.identity, {
             upstream: record.id,
             address: record.address,
             sentAt,
@@ -227,13 +227,13 @@
   { context, signal, waitUntil }: AttemptOptions,
 ): Promise<CrashStanding> {
   const { crashes, clock } = context;
-  let standing = crashes.standing(call.identity);
+  let standing = crashes.status(call.identity);
   while (
-    standing === CrashStanding.single && crashes.isUnderWay(call.identity) &&
+    standing === CrashStanding.single && crashes.isInFlight(call.identity) &&
     !signal.aborted && clock.steady() < waitUntil
   ) {
     await new Promise((resolve) => setTimeout(resolve, LOOK_INTERVAL));
-    standing = crashes.standing(call.identity);
+    standing = crashes.status(call.identity);
   }
   return standing;
 }
--- a/apps/heroncleatd/gateway/entry_exchange.ts
+++ b/apps/heroncleatd/gateway/entry_exchange.ts
@@ -16,7 +16,7 @@
 } from "@heroncleat/serving";
 import type { Log } from "../common/log.ts";
 import type { ChargeSharing } from "./charge_sharing.ts";
-import type { CrashWatch } from "../common/crash_watch.ts";
+import type { SuspectWatcher } from "../common/suspect_watcher.ts";
 import type { FeedPosition } from "./feed_position.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
 import type { UpstreamAgents } from "./upstream_agents.ts";
@@ -37,7 +37,7 @@
   readonly quota: WorkspaceQuota;
   readonly usage: UsageCounts;
   readonly charges: ChargeSharing;
-  readonly crashes: CrashWatch;
+  readonly crashes: SuspectWatcher;
   readonly book: CrashBook;
   /** Whether callers may be sent here. */
   readonly isOpen: () => boolean;
@@ -133,7 +133,7 @@
       onDocument(packedDocument.unpack(reply.document));
     }
     charges.learn(reply);
-    this.#options.crashes.learn(reply.suspects ?? []);
+    this.#options.crashes.mergeReports(reply.suspects ?? []);
     if (reply.shared !== undefined) {
       this.#learnShared(reply.shared, { reporter: from, ages });
     }
@@ -173,7 +173,7 @@
     const { directory, agents, choice, crashes, log } = this.#options;
     const isOver = (id: string) => directory.isOver(id);
     for (const id of agents.removeWhere(isOver)) {
-      crashes.noteEnd(id);
+      crashes.recordCrash(id);
       choice.forget(id);
       log.info("An upstream has started again", { upstream: id });
     }
--- a/apps/heroncleatd/gateway/entry_notices.ts
+++ b/apps/heroncleatd/gateway/entry_notices.ts
@@ -4,7 +4,7 @@
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
 import { parseJson } from "../common/parse_json.ts";
-import { RateBudget } from "../common/rate_budget.ts";
+import { RateLimiter } from "../common/rate_limiter.ts";
 
 /**
  * Datagrams that one entry sends in a second at most. At 96 entries that
@@ -35,7 +35,7 @@
   readonly #options: NoticeOptions;
   readonly #socket: Socket;
   readonly #port: number;
-  readonly #budget = new RateBudget(MOST_PER_SECOND, MOST_AT_ONCE);
+  readonly #budget = new RateLimiter(MOST_PER_SECOND, MOST_AT_ONCE);
   #isClosed = false;
 
   constructor(options: NoticeOptions) {
@@ -76,7 +76,7 @@
       return;
     }
     const { clock, metrics } = this.#options;
-    if (!this.#budget.take(clock.steady(), hosts.length)) {
+    if (!this.#budget.tryConsume(clock.steady(), hosts.length)) {
       metrics.increment("entry_notices.over_budget");
       return;
     }
--- a/apps/heroncleatd/gateway/forward_context.ts
+++ b/apps/heroncleatd/gateway/forward_context.ts
@@ -8,7 +8,7 @@
 } from "@heroncleat/serving";
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
-import type { CrashWatch } from "../common/crash_watch.ts";
+import type { SuspectWatcher } from "../common/suspect_watcher.ts";
 import type { HeaderNames } from "./header_names.ts";
 import type { LeaveDeadline } from "./leave_deadline.ts";
 import type { UpstreamAgent } from "./upstream_agent.ts";
@@ -24,7 +24,7 @@
   readonly choice: UpstreamChoice;
   readonly directory: UpstreamDirectory;
   /** Requests under which upstreams ended. */
-  readonly crashes: CrashWatch;
+  readonly crashes: SuspectWatcher;
   /** When this entry ends, if it leaves. */
   readonly leaving: LeaveDeadline;
   /** What is known of a service's engines; nothing for plain services. */
--- a/apps/heroncleatd/gateway/forwarding_test.ts
+++ b/apps/heroncleatd/gateway/forwarding_test.ts
@@ -12,7 +12,7 @@
 } from "@heroncleat/serving";
 import fc from "fast-check";
 import type { CallerRequest } from "./caller_request.ts";
-import { CrashWatch } from "../common/crash_watch.ts";
+import { SuspectWatcher } from "../common/suspect_watcher.ts";
 import { forwardCall } from "./forward_call.ts";
 import type { ForwardContext } from "./forward_context.ts";
 import type { ForwardResult } from "./forward_result.ts";
@@ -510,8 +510,8 @@
     log: quiet,
     metrics,
     leaving: new LeaveDeadline(clock),
-    crashes: new CrashWatch({
-      book: new CrashBook({
+    crashes: new SuspectWatcher({
+      registry: new CrashBook({
         revisions: new RevisionCounter(),
         countUpstreams: () => upstreams.length,
       }),
@@ -519,8 +519,8 @@
       log: quiet,
       metrics,
       probe: () => Promise.resolve(true),
-      isOver: () => false,
-      onEnd: () => {},
+      isReplaced: () => false,
+      onCrash: () => {},
       report: () => {},
     }),
     zone: "a",
--- a/apps/heroncleatd/gateway/start_gateway.ts
+++ b/apps/heroncleatd/gateway/start_gateway.ts
@@ -29,7 +29,7 @@
 import { ChargeSharing } from "./charge_sharing.ts";
 import { createCallerServer } from "./create_caller_server.ts";
 import { ControlLinks } from "./control_links.ts";
-import { CrashWatch } from "../common/crash_watch.ts";
+import { SuspectWatcher } from "../common/suspect_watcher.ts";
 import type { DecodedDocument } from "./decoded_document.ts";
 import { EntryExchange } from "./entry_exchange.ts";
 import { EntryNotices } from "./entry_notices.ts";
@@ -106,7 +106,7 @@
     revisions: new RevisionCounter(),
     countUpstreams: (service) => this.#directory.countReady(service),
   });
-  readonly #crashes: CrashWatch;
+  readonly #crashes: SuspectWatcher;
   readonly #usage: UsageCounts;
   readonly #quota: WorkspaceQuota;
   readonly #links: ControlLinks;
@@ -136,14 +136,14 @@
     this.#log = options.log("gateway");
     this.#usage = new UsageCounts(settings.usageWindow);
     this.#quota = new WorkspaceQuota(settings.quota);
-    this.#crashes = new CrashWatch({
-      book: this.#crashBook,
+    this.#crashes = new SuspectWatcher({
+      registry: this.#crashBook,
       clock,
       log: this.#log,
       metrics: options.metrics,
       probe: probeUpstream,
-      isOver: (upstream) => this.#directory.isOver(upstream),
-      onEnd: (upstream, at) => this.#choice.noteEnd(upstream, at),
+      isReplaced: (upstream) => this.#directory.isOver(upstream),
+      onCrash: (upstream, at) => this.#choice.noteEnd(upstream, at),
       report: (news) => this.#reportSuspects(news),
     });
     this.#links = new ControlLinks({
@@ -378,7 +378,7 @@
       this.#noticeThreshold.noteReceived(now);
       this.#choice.learnDispatch(notice, now);
     } else if (notice.kind === "suspects") {
-      this.#crashes.learn(notice.suspects);
+      this.#crashes.mergeReports(notice.suspects);
     } else {
       this.#charges.receive(notice, from);
     }
--- a/apps/heroncleatd/hub/crashing_request_test.ts
+++ b/apps/heroncleatd/hub/crashing_request_test.ts
@@ -1,58 +1,63 @@
 import { setTimeout as pause } from "node:timers/promises";
-import { eventually } from "./eventually.ts";
+import { waitUntil } from "./wait_until.ts";
 import { RestartingUpstream } from "./restarting_upstream.ts";
-import { documentOf } from "./test_document.ts";
-import { runTool } from "./run_tool.ts";
+import { testDocument } from "./test_document.ts";
+import { runOperatorTool } from "./run_operator_tool.ts";
 import { TestGroup } from "./test_group.ts";
 
 const FIRST_PORT = 25_700;
-const UPSTREAMS = 14;
-const ENTRIES = 2;
-const DOWNTIME = 2000;
-/** Time that a request of the others takes, and the pause between two. */
-const WORK = 100;
-const PAUSE = 20;
-/** The request that ends upstreams comes again after this pause. */
-const REPEAT_PAUSE = 100;
-const PLAYED = 10_000;
-/** Ends that are borne, time to tell all entries, and sends borne after it. */
-const ENDS_BORNE = 3;
-const TELLING_TIME = 3000;
-const SENDS_BORNE = 3;
-/** Part of the others' requests that must be served meanwhile. */
-const SERVED = 0.9;
+const UPSTREAM_COUNT = 14;
+const ENTRY_COUNT = 2;
+const DOWNTIME_MS = 2000;
+/** Duration of the other requests, and the pause between two of them. */
+const SERVICE_TIME_MS = 100;
+const REQUEST_PAUSE_MS = 20;
+/** Pause between two repetitions of the crashing request. */
+const REPEAT_PAUSE_MS = 100;
+const LOAD_DURATION_MS = 10_000;
+/**
+ * Crashes until a request is rejected, the time for all entries to receive the
+ * reports, and the runs tolerated after that.
+ */
+const CRASHES_UNTIL_REJECTION = 3;
+const PROPAGATION_TIME_MS = 3000;
+const MAX_LATE_RUNS = 3;
+/** Minimum share of the other requests that are served meanwhile. */
+const MIN_SERVED_SHARE = 0.9;
 
-const CRASHING = "crashes";
-/** What ends upstreams now. */
-let crashing = CRASHING;
-const POPULAR = "everybody asks this";
+const CRASHING_BODY = "crashes";
+/** Body of the request that currently crashes upstreams. */
+let crashingBody = CRASHING_BODY;
+const POPULAR_BODY = "everybody asks this";
 
 const group = new TestGroup(FIRST_PORT);
 const runs: { body: string; at: number }[] = [];
-const ends: number[] = [];
+const crashTimes: number[] = [];
 const upstreams: RestartingUpstream[] = [];
 
 beforeAll(async () => {
-  await group.start({ entries: ENTRIES });
-  await eventually(() => group.publish(0, documentOf(1)));
-  for (let at = 0; at < UPSTREAMS; at += 1) {
-    const replica = group.hubs[at % 4]!;
+  await group.start({ entries: ENTRY_COUNT });
+  await waitUntil(() => group.publish(0, testDocument(1)));
+  for (let index = 0; index < UPSTREAM_COUNT; index += 1) {
+    const replica = group.hubs[index % 4]!;
     const upstream = new RestartingUpstream({
-      name: `desk-${at}`,
-      port: FIRST_PORT + 30 + at,
-      work: WORK,
-      downtime: DOWNTIME,
-      endsIt: (body) => body === crashing,
-      // One that is lost takes no heartbeats.
+      name: `desk-${index}`,
+      port: FIRST_PORT + 30 + index,
+      serviceTime: SERVICE_TIME_MS,
+      downtime: DOWNTIME_MS,
+      crashesOn: (body) => body === crashingBody,
+      // A crashed control process receives no heartbeats.
       report: (record) => void replica.hub?.mergeUpstream(record),
       onRun: (body) => runs.push({ body, at: performance.now() }),
-      onEnd: () => ends.push(performance.now()),
+      onCrash: () => crashTimes.push(performance.now()),
     });
     upstreams.push(upstream);
     await upstream.start();
   }
-  for (let at = 0; at < ENTRIES; at += 1) {
-    await eventually(async () => (await group.ask(at)).status === 200);
+  for (let index = 0; index < ENTRY_COUNT; index += 1) {
+    await waitUntil(async () =>
+      (await group.sendRequest(index)).status === 200
+    );
   }
 }, 40_000);
 
@@ -63,142 +68,157 @@
   }
 });
 
-// Other callers' request of which each one is another one, or the same.
-async function load(
+// Sends other callers' requests at a fixed rate, with bodies that are all
+// different or all the same.
+async function generateLoad(
   bodyOf: (call: number) => string,
 ): Promise<{ served: number; rejected: number }> {
-  const until = performance.now() + PLAYED;
+  const until = performance.now() + LOAD_DURATION_MS;
   const calls: Promise<number>[] = [];
   for (let call = 0; performance.now() < until; call += 1) {
-    const asked = group.ask(call % ENTRIES, bodyOf(call));
-    calls.push(asked.then(({ status }) => status, () => 0));
-    await pause(PAUSE);
+    const response = group.sendRequest(call % ENTRY_COUNT, bodyOf(call));
+    calls.push(response.then(({ status }) => status, () => 0));
+    await pause(REQUEST_PAUSE_MS);
   }
   const statuses = await Promise.all(calls);
-  const count = (isMeant: (status: number) => boolean) =>
-    statuses.filter(isMeant).length / statuses.length;
+  const count = (matches: (status: number) => boolean) =>
+    statuses.filter(matches).length / statuses.length;
   return {
     served: count((status) => status === 200),
     rejected: count((status) => status >= 400 && status < 500),
   };
 }
 
-// Eight upstreams end by themselves, one after the other, while the same
-// harmless request is under way wherever they are.
+// Guards against rejecting a harmless request that runs on many upstreams while
+// they crash for other reasons.
 test(
-  "a request that is under way where upstreams end is not to blame",
+  "a request that runs on upstreams crashing for other reasons isn't rejected",
   async () => {
-    const loading = load(() => POPULAR);
-    for (let at = 0; at < 8; at += 1) {
+    const loadResult = generateLoad(() => POPULAR_BODY);
+    for (let index = 0; index < 8; index += 1) {
       await pause(400);
-      upstreams[at]!.end("");
+      upstreams[index]!.crash("");
     }
-    const { served, rejected } = await loading;
+    const { served, rejected } = await loadResult;
     expect(rejected).toBe(0);
-    expect(served).toBeGreaterThan(SERVED);
+    expect(served).toBeGreaterThan(MIN_SERVED_SHARE);
   },
   40_000,
 );
 
-// One request ended each upstream that began to run it, and its caller came
-// again, at any entry: up to 16 upstreams in a row ended under it, 12 of them
-// after the third, and each took some ten requests of other callers with it. An
-// entry remembered nothing of a request beyond its one answer, and no entry
-// told another one, so that each copy was a new request. With this order of
-// events upstreams ended some 60 times under one body, and 0.4 of the others'
-// requests were served.
+// Guards against entries that treat each repetition of a crashing request as
+// new, so that it crashes one upstream after another.
 test(
-  "a request that ends each upstream that runs it is not sent on for long",
+  "a request that crashes every upstream is rejected after a few crashes",
   async () => {
     runs.length = 0;
-    ends.length = 0;
+    crashTimes.length = 0;
     const statuses: number[] = [];
-    const repeating = (async () => {
-      const until = performance.now() + PLAYED;
+    const repetition = (async () => {
+      const until = performance.now() + LOAD_DURATION_MS;
       for (let call = 0; performance.now() < until; call += 1) {
-        const asked = await group.ask(call % ENTRIES, CRASHING);
-        statuses.push(asked.status);
-        await pause(REPEAT_PAUSE);
+        const response = await group.sendRequest(
+          call % ENTRY_COUNT,
+          CRASHING_BODY,
+        );
+        statuses.push(response.status);
+        await pause(REPEAT_PAUSE_MS);
       }
     })();
-    const { served, rejected } = await load((call) => `guest ${call}`);
-    await repeating;
-    const told = (ends[ENDS_BORNE - 1] ?? 0) + TELLING_TIME;
-    const late = runs.filter(({ body, at }) => body === CRASHING && at > told);
-    expect(ends.length).toBeGreaterThanOrEqual(ENDS_BORNE);
-    expect(late.length).toBeLessThanOrEqual(SENDS_BORNE);
-    expect(served).toBeGreaterThan(SERVED);
+    const { served, rejected } = await generateLoad((call) => `guest ${call}`);
+    await repetition;
+    const propagatedAt = (crashTimes[CRASHES_UNTIL_REJECTION - 1] ?? 0) +
+      PROPAGATION_TIME_MS;
+    const lateRuns = runs.filter(({ body, at }) =>
+      body === CRASHING_BODY && at > propagatedAt
+    );
+    expect(crashTimes.length).toBeGreaterThanOrEqual(CRASHES_UNTIL_REJECTION);
+    expect(lateRuns.length).toBeLessThanOrEqual(MAX_LATE_RUNS);
+    expect(served).toBeGreaterThan(MIN_SERVED_SHARE);
     expect(rejected).toBe(0);
-    // Callers don't repeat what gets this status.
+    // Callers don't retry after this status.
     expect(statuses.at(-1)).toBe(400);
   },
   40_000,
 );
 
-// All processes lost their memory at once, and with it what they knew: the
-// request ended as many upstreams again.
+// Guards against losing the recorded crashes when all processes restart at
+// once.
 test(
-  "a rejected request is rejected when all processes were lost",
+  "a rejected request is still rejected after all processes restarted",
   async () => {
     runs.length = 0;
     await pause(500);
     await Promise.all([
       ...group.gateways.splice(0).map((gateway) => gateway.stop()),
-      ...group.hubs.map((hub) => hub.lose()),
+      ...group.hubs.map((hub) => hub.crash()),
     ]);
     await Promise.all(
       group.hubs.map((hub) => hub.start({ isFirstStart: false })),
     );
-    for (let at = 0; at < ENTRIES; at += 1) {
-      await group.startEntry(at);
-      await eventually(async () => (await group.ask(at)).status === 200);
-      expect((await group.ask(at, CRASHING)).status).toBe(400);
+    for (let index = 0; index < ENTRY_COUNT; index += 1) {
+      await group.startEntry(index);
+      await waitUntil(async () =>
+        (await group.sendRequest(index)).status === 200
+      );
+      expect((await group.sendRequest(index, CRASHING_BODY)).status).toBe(400);
     }
-    expect(runs.filter(({ body }) => body === CRASHING)).toHaveLength(0);
+    expect(runs.filter(({ body }) => body === CRASHING_BODY)).toHaveLength(0);
   },
   60_000,
 );
 
-// Upstreams of a new release may bear the request, which callers still have.
+// A new release of the upstreams may handle the request.
 test(
-  "an operator sees a rejected request and has it sent on again",
+  "an operator lists a rejected request and clears it",
   async () => {
-    const listed = await runTool(FIRST_PORT, ["suspects"]);
+    const listed = await runOperatorTool(FIRST_PORT, ["suspects"]);
     const rejected = listed.split("\n").find((line) =>
       line.includes("rejected")
     );
     expect(rejected).toMatch(/ desk +7 /);
     const digest = rejected!.split(" ")[0]!;
-    crashing = "no longer";
-    expect(await runTool(FIRST_PORT, ["suspect-clear", digest])).toContain(
-      `cleared ${digest}`,
-    );
-    for (let at = 0; at < ENTRIES; at += 1) {
-      await eventually(async () =>
-        (await group.ask(at, CRASHING)).status === 200
+    crashingBody = "no longer";
+    expect(await runOperatorTool(FIRST_PORT, ["suspect-clear", digest]))
+      .toContain(
+        `cleared ${digest}`,
+      );
+    for (let index = 0; index < ENTRY_COUNT; index += 1) {
+      await waitUntil(async () =>
+        (await group.sendRequest(index, CRASHING_BODY)).status === 200
       );
     }
-    expect(await runTool(FIRST_PORT, ["suspects"])).not.toContain(digest);
-    expect(await runTool(FIRST_PORT, ["suspect-clear", digest])).toContain(
-      "Remedy",
+    expect(await runOperatorTool(FIRST_PORT, ["suspects"])).not.toContain(
+      digest,
     );
-    crashing = CRASHING;
+    expect(await runOperatorTool(FIRST_PORT, ["suspect-clear", digest]))
+      .toContain(
+        "Remedy",
+      );
+    crashingBody = CRASHING_BODY;
   },
   60_000,
 );
 
-// Cut off from all replicas, each entry knew of the ends that it had seen, and a
-// caller that came to one after the other had three upstreams end at each.
-test("entries tell each other while no replica answers", async () => {
-  await Promise.all(group.hubs.map((hub) => hub.lose()));
-  await pause(2000);
-  crashing = "crashes unheard of";
-  ends.length = 0;
-  const statuses: number[] = [];
-  for (let call = 0; call < 20; call += 1) {
-    statuses.push((await group.ask(call % ENTRIES, crashing)).status);
-    await pause(3 * REPEAT_PAUSE);
-  }
-  expect(statuses.slice(-ENTRIES)).toEqual([400, 400]);
-  expect(ends.length).toBeLessThan(ENTRIES * ENDS_BORNE);
-}, 60_000);
+// Guards against isolated entries that each allow the full number of crashes.
+test(
+  "entries exchange crash reports while no control replica responds",
+  async () => {
+    await Promise.all(group.hubs.map((hub) => hub.crash()));
+    await pause(2000);
+    crashingBody = "crashes without replicas";
+    crashTimes.length = 0;
+    const statuses: number[] = [];
+    for (let call = 0; call < 20; call += 1) {
+      statuses.push(
+        (await group.sendRequest(call % ENTRY_COUNT, crashingBody)).status,
+      );
+      await pause(3 * REPEAT_PAUSE_MS);
+    }
+    expect(statuses.slice(-ENTRY_COUNT)).toEqual([400, 400]);
+    expect(crashTimes.length).toBeLessThan(
+      ENTRY_COUNT * CRASHES_UNTIL_REJECTION,
+    );
+  },
+  60_000,
+);
--- a/apps/heroncleatd/hub/decode_test_document.ts
+++ b/apps/heroncleatd/hub/decode_test_document.ts
@@ -1,7 +1,7 @@
 import type { ServingDocument } from "@heroncleat/serving";
 import type { DecodedDocument } from "../gateway/decoded_document.ts";
 
-/** Documents of tests are sent as they are. */
+/** Decodes a configuration document that a test publishes as plain JSON. */
 export function decodeTestDocument(source: string): DecodedDocument {
   const document = JSON.parse(source) as ServingDocument;
   return { kind: "document", document };
--- a/apps/heroncleatd/hub/document_cache.ts
+++ b/apps/heroncleatd/hub/document_cache.ts
@@ -2,7 +2,7 @@
 import type { DecodedDocument } from "../gateway/decoded_document.ts";
 import type { StoredDocument } from "./serving_application.ts";
 
-/** Decodes each version once. */
+/** Caches the decoded form of the newest configuration document. */
 export class DocumentCache {
   readonly #decode: (source: string) => DecodedDocument;
   #stored: StoredDocument | undefined;
--- a/apps/heroncleatd/hub/feed_reader.ts
+++ b/apps/heroncleatd/hub/feed_reader.ts
@@ -3,10 +3,9 @@
 import type { PeerPool } from "@heroncleat/transport";
 import type { Log } from "../common/log.ts";
 
-const INTERVAL: Milliseconds = 200;
-const TIMEOUT: Milliseconds = 800;
+const READ_INTERVAL: Milliseconds = 200;
+const READ_TIMEOUT: Milliseconds = 800;
 
-/** What the reader is built from. */
 type ReaderOptions = {
   readonly hub: Hub;
   readonly clock: Clock;
@@ -16,12 +15,12 @@
   readonly peers: () => readonly string[];
 };
 
-/** How far one peer's feed was read. */
-type Position = { feed: string; revision: number; isAsking: boolean };
+/** Position up to which a peer's change feed has been read. */
+type Position = { feed: string; revision: number; isReading: boolean };
 
 /**
- * Takes over what upstreams reported to the other control replicas, and what
- * these know of usage.
+ * Polls the change feeds of the other control replicas and merges their
+ * upstream records and usage counts.
  */
 export class FeedReader {
   readonly #options: ReaderOptions;
@@ -30,7 +29,7 @@
 
   constructor(options: ReaderOptions) {
     this.#options = options;
-    this.#timer = setInterval(() => this.#readAll(), INTERVAL);
+    this.#timer = setInterval(() => this.#readAll(), READ_INTERVAL);
   }
 
   stop(): void {
@@ -39,38 +38,40 @@
 
   #readAll(): void {
     for (const address of this.#options.peers()) {
-      const known = this.#positions.get(address) ??
-        { feed: "", revision: 0, isAsking: false };
-      this.#positions.set(address, known);
-      if (!known.isAsking) {
-        void this.#read(address, known);
+      const position = this.#positions.get(address) ??
+        { feed: "", revision: 0, isReading: false };
+      this.#positions.set(address, position);
+      if (!position.isReading) {
+        void this.#read(address, position);
       }
     }
   }
 
   async #read(address: string, position: Position): Promise<void> {
     const { pool, hub, clock, log } = this.#options;
-    position.isAsking = true;
+    position.isReading = true;
     try {
       const { feed, revision } = position;
       const request: FeedRequest = { feed, revision };
       const reply = await pool.call(address, "hub.feed", {
         parameters: request,
-        timeout: TIMEOUT,
+        timeout: READ_TIMEOUT,
       }) as FeedReply;
       const now = clock.steady();
-      for (const leaving of hub.learnFeed(reply, now, { reporter: address })) {
-        log.info(`Learns that an upstream is ${leaving.state}`, {
-          upstream: leaving.id,
+      for (
+        const departing of hub.learnFeed(reply, now, { reporter: address })
+      ) {
+        log.info(`Received a report that an upstream is ${departing.state}`, {
+          upstream: departing.id,
           by: address,
         });
       }
       position.feed = reply.feed;
       position.revision = reply.revision;
     } catch {
-      // The peer is asked again at the next interval; the links log losses.
+      // The next interval retries; the connection pool logs failed connections.
     } finally {
-      position.isAsking = false;
+      position.isReading = false;
     }
   }
 }
--- a/apps/heroncleatd/hub/group_announcer.ts
+++ b/apps/heroncleatd/hub/group_announcer.ts
@@ -1,21 +1,20 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { RegisterRequest } from "@heroncleat/schema";
 import type { PeerPool } from "@heroncleat/transport";
-import { foundingCalls } from "./founding_calls.ts";
+import { bootstrapCalls } from "./bootstrap_calls.ts";
 
-/** Pause between notices to seeds without a replica of who is a member. */
 const ANNOUNCE_INTERVAL: Milliseconds = 1000;
 
-/** What the announcer is built from. */
 type AnnouncerOptions = {
   readonly pool: PeerPool;
   readonly seeds: () => readonly string[];
-  readonly describe: () => RegisterRequest;
+  readonly describeGroup: () => RegisterRequest;
 };
 
 /**
- * Tells seeds that hold no replica who is a member. They forget it when they
- * restart, and others learn of the group by the seeds alone.
+ * Sends the group's members periodically to seeds that hold no replica. Such
+ * seeds lose the members on a restart, and other processes find the group only
+ * through the seeds.
  */
 export class GroupAnnouncer {
   readonly #options: AnnouncerOptions;
@@ -32,11 +31,11 @@
   }
 
   #announce(): void {
-    const { pool, seeds, describe } = this.#options;
-    const request = describe();
+    const { pool, seeds, describeGroup } = this.#options;
+    const request = describeGroup();
     for (const seed of seeds()) {
       if (!request.members.some(({ address }) => address === seed)) {
-        foundingCalls.announce(pool, seed, request);
+        bootstrapCalls.announce(pool, seed, request);
       }
     }
   }
--- a/apps/heroncleatd/hub/hub_calls.ts
+++ b/apps/heroncleatd/hub/hub_calls.ts
@@ -1,4 +1,7 @@
-/** By which processes without a replica pass calls on to one. */
+/**
+ * RPC methods that a control process without a replica forwards to a control
+ * replica.
+ */
 export const hubCalls = {
   publish: "hub.publish",
   readDocument: "hub.read_document",
--- a/apps/heroncleatd/hub/hub_proxy_test.ts
+++ b/apps/heroncleatd/hub/hub_proxy_test.ts
@@ -1,16 +1,16 @@
 import type { Server } from "node:http";
-import { eventually } from "./eventually.ts";
-import { runTool } from "./run_tool.ts";
-import { startTestDesk } from "./start_test_desk.ts";
-import { documentOf } from "./test_document.ts";
+import { waitUntil } from "./wait_until.ts";
+import { runOperatorTool } from "./run_operator_tool.ts";
+import { startTestService } from "./start_test_service.ts";
+import { testDocument } from "./test_document.ts";
 import { TestGroup } from "./test_group.ts";
 import { testRecord } from "./test_record.ts";
 
 const FIRST_PORT = 25_900;
-const DESK_PORT = FIRST_PORT + 50;
-/** Time after which a replica with a new disk votes. */
-const CATCH_UP_TIME = 4000;
-const DESK = `127.0.0.1:${DESK_PORT}`;
+const SERVICE_PORT = FIRST_PORT + 50;
+/** Time until a replica with a new disk votes. */
+const CATCH_UP_TIME_MS = 4000;
+const SERVICE_ADDRESS = `127.0.0.1:${SERVICE_PORT}`;
 
 const group = new TestGroup(FIRST_PORT, [
   false,
@@ -22,88 +22,91 @@
 ]);
 const proxies = group.hubs.slice(0, 3);
 const replicas = group.hubs.slice(3);
-let desk: Server;
+let server: Server;
 
 beforeAll(async () => {
-  desk = await startTestDesk(DESK_PORT);
+  server = await startTestService(SERVICE_PORT);
   await group.start({ entries: 2 });
 });
 
 afterAll(async () => {
   await group.stop();
-  desk.close();
-  desk.closeAllConnections();
+  server.close();
+  server.closeAllConnections();
 });
 
-// The second VM of a zone may have no disk, and all seeds may be such VMs: a
-// group couldn't be founded then, and the control role ended at once there.
-// The tests build on each other: one deployment lives through all of them.
+// Guards against a group that can't form because all its seeds are on VMs
+// without a disk. The tests build on each other and share one deployment.
 describe("a control group whose seeds have no disk", () => {
-  test("is founded through them and takes what is sent to them", async () => {
-    await eventually(() => group.publish(0, documentOf(2)));
-    expect(await storedAt(1)).toBe(JSON.stringify(documentOf(2)));
-    expect(await storedAt(4)).toBe(JSON.stringify(documentOf(2)));
-    await eventually(() => group.gateways.every(({ isReady }) => isReady()));
+  test("forms through its seeds and accepts documents sent to them", async () => {
+    await waitUntil(() => group.publish(0, testDocument(2)));
+    expect(await readSourceAt(1)).toBe(JSON.stringify(testDocument(2)));
+    expect(await readSourceAt(4)).toBe(JSON.stringify(testDocument(2)));
+    await waitUntil(() => group.gateways.every(({ isReady }) => isReady()));
   });
 
-  test("passes heartbeats on and names the replica that took them", async () => {
+  test("forwards heartbeats and returns the replica that accepted them", async () => {
     const outcome = await proxies[2]!.hub.mergeUpstream(
-      testRecord("desk-1", { address: DESK, sequence: 1 }),
+      testRecord("desk-1", { address: SERVICE_ADDRESS, sequence: 1 }),
     );
     expect(outcome).toEqual({
       kind: "accepted",
       heldBy: expect.stringMatching(/^127\.0\.0\.1:2590[345]$/),
     });
-    for (const at of [0, 1]) {
-      await eventually(async () => (await group.ask(at)).status === 200);
+    for (const index of [0, 1]) {
+      await waitUntil(async () =>
+        (await group.sendRequest(index)).status === 200
+      );
     }
   });
 
-  test("acknowledges leaves that replicas hold, through them too", async () => {
+  test("acknowledges forwarded departures once replicas have stored them", async () => {
     const outcome = await proxies[0]!.hub.removeUpstream("desk-1");
     expect(outcome.kind).toBe("accepted");
-    for (const at of [0, 1]) {
-      await eventually(async () => (await group.ask(at)).status === 503);
+    for (const index of [0, 1]) {
+      await waitUntil(async () =>
+        (await group.sendRequest(index)).status === 503
+      );
     }
   });
 
-  test("is found again when all of them have restarted at once", async () => {
+  test("is found again after all seeds restarted at once", async () => {
     await Promise.all(proxies.map((proxy) => proxy.stop()));
     await Promise.all(
       proxies.map((proxy) => proxy.start({ isFirstStart: true })),
     );
-    await eventually(() => group.publish(2, documentOf(3)));
-    expect(await storedAt(0)).toBe(JSON.stringify(documentOf(3)));
+    await waitUntil(() => group.publish(2, testDocument(3)));
+    expect(await readSourceAt(0)).toBe(JSON.stringify(testDocument(3)));
   });
 
-  test("takes a replica with an empty disk back through them", async () => {
+  test("readmits a replica with an empty disk through its seeds", async () => {
     await replicas[0]!.stop();
     replicas[0]!.wipe();
     await replicas[0]!.start({ isFirstStart: false });
-    await eventually(async () =>
-      await storedAt(3) === JSON.stringify(documentOf(3))
+    await waitUntil(async () =>
+      await readSourceAt(3) === JSON.stringify(testDocument(3))
     );
   });
 
-  test("is shown to operators with what it can bear", async () => {
-    const shown = await runTool(FIRST_PORT, ["replicas"]);
+  test("shows operators its members and the losses it tolerates", async () => {
+    const shown = await runOperatorTool(FIRST_PORT, ["replicas"]);
     expect(shown).toMatch(/hub-3 +zone-3 +127\.0\.0\.1:25903 +(leader|voter)/);
     expect(shown).toContain("Bears the loss of 1 VMs");
   });
 
-  test("goes on with a replica lost, and refuses without a quorum", async () => {
-    await new Promise((resolve) => setTimeout(resolve, CATCH_UP_TIME));
-    await replicas[1]!.lose();
-    await eventually(() => group.publish(1, documentOf(4)));
-    await replicas[2]!.lose();
-    await eventually(async () => await storedAt(1) === "unavailable");
-    expect(await group.publish(1, documentOf(5))).toBe(false);
+  test("tolerates the loss of a replica, and refuses without a quorum", async () => {
+    await new Promise((resolve) => setTimeout(resolve, CATCH_UP_TIME_MS));
+    await replicas[1]!.crash();
+    await waitUntil(() => group.publish(1, testDocument(4)));
+    await replicas[2]!.crash();
+    await waitUntil(async () => await readSourceAt(1) === "unavailable");
+    expect(await group.publish(1, testDocument(5))).toBe(false);
     const outcome = await proxies[1]!.hub.removeUpstream("desk-1");
     expect(outcome.kind).toBe("unavailable");
   });
 });
 
-async function storedAt(at: number): Promise<string> {
-  const read = await group.hubs[at]!.hub.readDocument();
+async function readSourceAt(index: number): Promise<string> {
+  const read = await group.hubs[index]!.hub.readDocument();
   return typeof read === "string" ? read : read.source;
 }
--- a/apps/heroncleatd/hub/hub_settings.ts
+++ b/apps/heroncleatd/hub/hub_settings.ts
@@ -1,30 +1,35 @@
 import type { PromisedLosses } from "@heroncleat/consensus";
 
-/** Settings of the control side of request forwarding. */
+/** Settings of a control replica. */
 export type HubSettings = {
   readonly name: string;
   readonly zone: string;
-  /** host:port for the system's own processes. */
+  /** host:port for calls from the system's own processes. */
   readonly peerAddress: string;
-  /** Peer addresses of control replicas that may be up. */
+  /** Peer addresses of control processes; not all need to be running. */
   readonly seeds: readonly string[];
-  /** What may be lost at once while everything goes on. */
+  /** Simultaneous losses that the group must survive. */
   readonly promisedLosses: PromisedLosses;
-  /** VMs with a replica that may be lost at once, those of a lost zone too. */
+  /**
+   * Number of VMs with a replica that may be lost at once, including those of a
+   * lost zone.
+   */
   readonly toleratedLosses: number;
   /** Region of each availability zone. */
   readonly regions: Readonly<Record<string, string>>;
   /** Whether the whole system starts for the first time. */
   readonly isFirstStart: boolean;
   readonly dataFolder: string;
-  /** Shortest time without a leader before an election, in ms. */
+  /** Minimum time without a leader before an election, in ms. */
   readonly electionTimeout: number;
-  /** Largest part of a lease's length that a clock may be off. */
+  /** Maximum clock drift as a share of a lease's length. */
   readonly clockDrift: number;
   /** Length of a usage window, in ms. */
   readonly usageWindow: number;
-  /** Time after its end within which a window is to be reported, in ms. */
+  /**
+   * Time after the end of a usage window within which it is reported, in ms.
+   */
   readonly usageDelay: number;
-  /** Time within which another holder of a duty must not act, in ms. */
-  readonly dutyLease: number;
+  /** Lease of the leader tasks, in which no second holder may act, in ms. */
+  readonly leaderTaskLease: number;
 };
--- a/apps/heroncleatd/hub/join_group.ts
+++ b/apps/heroncleatd/hub/join_group.ts
@@ -6,27 +6,30 @@
   ReplicaMember,
 } from "@heroncleat/schema";
 import type { Log } from "../common/log.ts";
-import { decideFounding } from "./decide_founding.ts";
+import { decideBootstrap } from "./decide_bootstrap.ts";
 
-const ASK_PAUSE: Milliseconds = 200;
-/** Rounds between lines in the log while nothing is decided. */
-const LOG_ROUNDS = 25;
+const RETRY_PAUSE: Milliseconds = 200;
+/** Rounds between two log lines while the replica waits. */
+const ROUNDS_PER_LOG_LINE = 25;
 /**
- * Time for which all seeds answer before a group is founded with fewer members
- * than the promised losses take; VMs start within tenths of a second.
+ * Time for which all seeds respond before a group is formed with fewer members
+ * than the tolerated losses require. VMs of one deployment may start at
+ * slightly different times.
  */
-const FOUNDING_PATIENCE: Milliseconds = 4000;
+const FULL_GROUP_TIMEOUT: Milliseconds = 4000;
 
-/** What joining a group needs. */
 type JoinOptions = {
   readonly self: ReplicaMember;
-  /** Peer addresses of the seeds; they may change. */
+  /** Current peer addresses of the seeds. */
   readonly seeds: () => readonly string[];
-  readonly mayFound: boolean;
-  readonly wantedFounders: number;
+  readonly mayBootstrap: boolean;
+  readonly targetMemberCount: number;
   readonly clock: Clock;
   readonly log: Log;
-  /** Asks a seed, this process too; rejects where it doesn't answer. */
+  /**
+   * Registers with a seed, which may be this process; rejects if the seed
+   * doesn't respond.
+   */
   readonly register: (
     seed: string,
     request: RegisterRequest,
@@ -35,103 +38,112 @@
 };
 
 /**
- * Finds the group there is, or founds it with the other replicas by way of the
- * seeds, which may have no disk.
+ * Joins the existing group, or bootstraps one together with the other replicas
+ * through the seeds. Seeds may have no disk.
  *
- * @returns The members the group was formed with.
+ * @returns The initial members of the group.
  */
 export async function joinGroup(
   options: JoinOptions,
 ): Promise<readonly ReplicaMember[]> {
-  const { clock, log, mayFound, wantedFounders } = options;
-  let answeredSince: Milliseconds | undefined;
+  const { clock, log, mayBootstrap, targetMemberCount } = options;
+  let allRespondedSince: Milliseconds | undefined;
   for (let round = 0;; round += 1) {
     const seeds = [...options.seeds()].sort();
-    const views = await askAll(seeds, options);
-    const isAnswered = views.every((view) => view !== undefined);
-    answeredSince = isAnswered ? answeredSince ?? clock.steady() : undefined;
-    const isOverdue = answeredSince !== undefined &&
-      clock.steady() - answeredSince >= FOUNDING_PATIENCE;
-    const decision = decideFounding(views, {
-      mayFound,
-      wantedFounders,
+    const views = await registerWithAllSeeds(seeds, options);
+    const hasAllResponses = views.every((view) => view !== undefined);
+    allRespondedSince = hasAllResponses
+      ? allRespondedSince ?? clock.steady()
+      : undefined;
+    const isOverdue = allRespondedSince !== undefined &&
+      clock.steady() - allRespondedSince >= FULL_GROUP_TIMEOUT;
+    const decision = decideBootstrap(views, {
+      mayBootstrap,
+      targetMemberCount,
       isOverdue,
     });
     if (decision.kind === "join") {
-      log.info("Joins the group", { founders: namesOf(decision.founders) });
+      log.info("Joins the group", { founders: joinNames(decision.founders) });
       return decision.founders;
     }
     if (
       decision.kind === "propose" &&
-      await holdAtAll(decision.founders, { seeds, views, hold: options.hold })
+      await isHeldByAllSeeds(decision.founders, {
+        seeds,
+        views,
+        hold: options.hold,
+      })
     ) {
-      log.info("The group is founded", {
-        founders: namesOf(decision.founders),
+      log.info("Formed a new group", {
+        founders: joinNames(decision.founders),
       });
       return decision.founders;
     }
-    if (round % LOG_ROUNDS === 0) {
-      log.info("Waits for the seeds and for enough replicas", {
+    if (round % ROUNDS_PER_LOG_LINE === 0) {
+      log.info("Waiting for the seeds and for enough replicas", {
         seeds: seeds.length,
         answered: views.filter((view) => view !== undefined).length,
-        wanted: wantedFounders,
+        wanted: targetMemberCount,
       });
     }
-    await new Promise((resolve) => setTimeout(resolve, ASK_PAUSE));
+    await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE));
   }
 }
 
-async function askAll(
+async function registerWithAllSeeds(
   seeds: readonly string[],
   { self, register }: JoinOptions,
 ): Promise<(FoundingView | undefined)[]> {
   const request = { member: self, founders: [], members: [] };
-  const asked = await Promise.allSettled(
+  const results = await Promise.allSettled(
     seeds.map((seed) => register(seed, request)),
   );
-  return asked.map((result) =>
+  return results.map((result) =>
     result.status === "fulfilled" ? result.value : undefined
   );
 }
 
-/** Whether all seeds hold the proposal, one asked after the other. */
-async function holdAtAll(
-  founders: readonly ReplicaMember[],
+/**
+ * Asks the seeds in address order to hold the proposal; stops at the first one
+ * that doesn't.
+ */
+async function isHeldByAllSeeds(
+  initialMembers: readonly ReplicaMember[],
   { seeds, views, hold }: {
     seeds: readonly string[];
     views: readonly (FoundingView | undefined)[];
     hold: JoinOptions["hold"];
   },
 ): Promise<boolean> {
-  for (const [at, seed] of seeds.entries()) {
-    const isHeldAfter = views.slice(at + 1).some((view) =>
-      view !== undefined && isSame(view.founders, founders)
+  for (const [index, seed] of seeds.entries()) {
+    const isHeldAfter = views.slice(index + 1).some((view) =>
+      view !== undefined && hasSameIds(view.founders, initialMembers)
     );
     try {
-      const request = { founders: [...founders], isHeldAfter };
-      const held = await hold(seed, request);
-      if (!isSame(held.founders, founders)) {
+      const request = { founders: [...initialMembers], isHeldAfter };
+      const view = await hold(seed, request);
+      if (!hasSameIds(view.founders, initialMembers)) {
         return false;
       }
     } catch {
-      // The next round asks again.
+      // The next round retries.
       return false;
     }
   }
   return true;
 }
 
-function isSame(
+function hasSameIds(
   left: readonly ReplicaMember[],
   right: readonly ReplicaMember[],
 ): boolean {
-  return idsOf(left) === idsOf(right);
+  return joinIds(left) === joinIds(right);
 }
 
-function idsOf(members: readonly ReplicaMember[]): string {
+function joinIds(members: readonly ReplicaMember[]): string {
   return members.map(({ id }) => id).sort().join(" ");
 }
 
-function namesOf(members: readonly ReplicaMember[]): string {
+function joinNames(members: readonly ReplicaMember[]): string {
   return members.map(({ name }) => name).join(", ");
 }
--- a/apps/heroncleatd/hub/duty_runner.ts
+++ b/apps/heroncleatd/hub/leader_task_runner.ts
@@ -10,88 +10,91 @@
   type WorkspaceCounts,
 } from "@heroncleat/serving";
 import type { Log } from "../common/log.ts";
-import type { DutyCalls, DutyHolder, DutyOutcome } from "./duty_calls.ts";
+import type {
+  LeaderTaskCalls,
+  LeaderTaskHolder,
+  LeaderTaskOutcome,
+} from "./leader_task_calls.ts";
 import type { Leadership } from "./replica_group.ts";
 import type { ServingCommand } from "./serving_command.ts";
 
-const INTERVAL: Milliseconds = 200;
+const RUN_INTERVAL: Milliseconds = 200;
 const FLEET_LOG_INTERVAL: Milliseconds = 2000;
-/** Part of the report delay after which a window is settled. */
-const SETTLE_SHARE = 0.4;
-/** Windows looked back for unreported ones. */
-const LOOK_BACK = 6;
-/** Silence after which an upstream counts as lost for the plan. */
-const SILENT_AFTER: Milliseconds = 3500;
+/** Share of the report delay after which a usage window is settled. */
+const SETTLE_DELAY_SHARE = 0.4;
+/** Number of past windows that are checked for missing reports. */
+const LOOKBACK_WINDOWS = 6;
+/** Time without a heartbeat after which the fleet plan ignores an upstream. */
+const HEARTBEAT_TIMEOUT: Milliseconds = 3500;
 
-/** What the runner is built from. */
 type RunnerOptions = {
   readonly name: string;
   readonly hub: Hub;
   readonly clock: Clock;
   readonly log: Log;
-  readonly calls: DutyCalls;
+  readonly calls: LeaderTaskCalls;
   readonly leadership: () => Leadership | undefined;
   readonly propose: (command: ServingCommand) => Promise<{ kind: string }>;
-  readonly settled: () => ReadonlyMap<number, WorkspaceCounts>;
+  readonly settledCounts: () => ReadonlyMap<number, WorkspaceCounts>;
   readonly services: () => readonly Service[];
   readonly fleet: FleetSettings;
-  /** Whether the whole system starts with this process. */
+  /** Whether this process is part of the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly usageWindow: Milliseconds;
   readonly usageDelay: Milliseconds;
-  readonly dutyLease: Milliseconds;
+  readonly leaderTaskLease: Milliseconds;
 };
 
 /**
- * Carries out the duties that one process has at a time: reports the usage of
- * each window and orders upstreams. The leader of the group holds them, and
- * its term is the fencing token.
+ * Runs the leader tasks: reports the usage of each window and orders upstreams.
+ * Only the leader of the group runs them, with its term as the fencing token.
  */
-export class DutyRunner {
+export class LeaderTaskRunner {
   readonly #options: RunnerOptions;
   readonly #timer: NodeJS.Timeout;
   readonly #planners = new Map<string, FleetPlanner>();
-  readonly #reported = new Set<number>();
+  readonly #reportedWindows = new Set<number>();
   #term = 0;
-  #ledSince: Milliseconds = 0;
+  #leaderSince: Milliseconds = 0;
   #fencedTerm = 0;
-  #isBusy = false;
-  #loggedAt = -Infinity;
-  /** Whether the system has just started and nobody asked anything yet. */
+  #isRunning = false;
+  #fleetLoggedAt = -Infinity;
+  /** Whether this is the first start and no request has arrived yet. */
   #isIdle: boolean;
 
   constructor(options: RunnerOptions) {
     this.#options = options;
     this.#isIdle = options.isFirstStart;
-    this.#timer = setInterval(() => void this.#look(), INTERVAL);
+    this.#timer = setInterval(() => void this.#runTasks(), RUN_INTERVAL);
   }
 
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  async #look(): Promise<void> {
+  async #runTasks(): Promise<void> {
     this.#observeLoad();
-    if (this.#isBusy || this.#holder() === undefined) {
+    if (this.#isRunning || this.#activeHolder() === undefined) {
       return;
     }
-    this.#isBusy = true;
+    this.#isRunning = true;
     try {
       await this.#orderFleet();
       await this.#reportUsage();
     } catch (error) {
-      this.#options.log.error("A duty failed", { error: String(error) });
+      this.#options.log.error("A leader task failed", { error: String(error) });
     } finally {
-      this.#isBusy = false;
+      this.#isRunning = false;
     }
   }
 
   /**
-   * The own right to act, checked again before each call. A new leader waits,
-   * so that holders never take turns within the duty's lease.
+   * Returns the holder if this replica may act now; checked again before each
+   * call. A new leader waits first, so that two holders never act within one
+   * lease of the leader tasks.
    */
-  #holder(): DutyHolder | undefined {
-    const { leadership, clock, dutyLease, name, log } = this.#options;
+  #activeHolder(): LeaderTaskHolder | undefined {
+    const { leadership, clock, leaderTaskLease, name, log } = this.#options;
     const current = leadership();
     const now = clock.steady();
     if (current === undefined || current.term === this.#fencedTerm) {
@@ -99,46 +102,47 @@
     }
     if (current.term !== this.#term) {
       this.#term = current.term;
-      this.#ledSince = now;
-      log.info("Takes over the duties", { fencingToken: current.term });
+      this.#leaderSince = now;
+      log.info("Takes over the leader tasks", { fencingToken: current.term });
     }
-    const mayAct = now - this.#ledSince > dutyLease * WAIT_SHARE ||
+    const mayAct =
+      now - this.#leaderSince > leaderTaskLease * TAKEOVER_WAIT_SHARE ||
       this.#isFirstTerm(current.term);
     return mayAct ? { name, fencingToken: current.term } : undefined;
   }
 
-  /** Nobody can have held a duty before the first term. */
+  /** In the first term no earlier leader can still hold a lease. */
   #isFirstTerm(term: number): boolean {
     return term === 1;
   }
 
-  /** Says what the plan rests on, every few seconds. */
+  /** Logs the input of the fleet plan at a fixed interval. */
   #logFleet(
     upstreams: readonly UpstreamRecord[],
     loads: Readonly<Record<string, UpstreamLoad>>,
   ): void {
     const { hub, clock } = this.#options;
     const now = clock.steady();
-    if (now - this.#loggedAt < FLEET_LOG_INTERVAL) {
+    if (now - this.#fleetLoggedAt < FLEET_LOG_INTERVAL) {
       return;
     }
-    this.#loggedAt = now;
+    this.#fleetLoggedAt = now;
     let requests = 0;
     let backlog = 0;
     for (const load of Object.values(loads)) {
       requests += load.requests;
       backlog += load.backlog;
     }
-    const ordered = new Set(
+    const scalableServices = new Set(
       this.#options.services().filter(({ scale }) => scale !== undefined)
         .map(({ name }) => name),
     );
-    const ready = upstreams.filter(({ state, service }) =>
-      state === "ready" && ordered.has(service)
+    const readyUpstreams = upstreams.filter(({ state, service }) =>
+      state === "ready" && scalableServices.has(service)
     );
     this.#options.log.info("Fleet", {
-      spot: ready.filter(({ isSpot }) => isSpot).length,
-      others: ready.filter(({ isSpot }) => !isSpot).length,
+      spot: readyUpstreams.filter(({ isSpot }) => isSpot).length,
+      others: readyUpstreams.filter(({ isSpot }) => !isSpot).length,
       requests,
       backlog,
       clockAhead: Math.round(
@@ -148,45 +152,47 @@
     });
   }
 
-  /** Every replica follows the load, so that a new leader knows it. */
+  /**
+   * Runs on every replica, so that a new leader already has the load history.
+   */
   #observeLoad(): void {
     const { clock, hub, services } = this.#options;
     const now = clock.steady();
-    const upstreams = this.#presentUpstreams();
+    const upstreams = this.#listLiveUpstreams();
     const loads = hub.totalLoads(now);
     const readWork = hub.totalReadWork();
-    const speeds = hub.readingSpeeds(now);
+    const prefillSpeeds = hub.readingSpeeds(now);
     const hasWork = Object.values(readWork).some((work) => work > 0);
     this.#isIdle &&= !hasWork && Object.keys(loads).length === 0;
     this.#logFleet(upstreams, loads);
     for (const service of services()) {
-      this.#plannerOf(service).observe({
+      this.#getOrCreatePlanner(service).observe({
         requests: countRequests(service, { upstreams, loads }),
         readWork: readWork[service.name] ?? 0,
-        readingSpeed: speeds[service.name],
+        readingSpeed: prefillSpeeds[service.name],
       }, now);
     }
   }
 
   async #orderFleet(): Promise<void> {
-    const upstreams = this.#presentUpstreams();
+    const upstreams = this.#listLiveUpstreams();
     const orders: Promise<void>[] = [];
     for (const service of this.#options.services()) {
-      const planner = this.#plannerOf(service);
+      const planner = this.#getOrCreatePlanner(service);
       const now = this.#options.clock.steady();
       const isIdle = this.#isIdle;
       for (const order of planner.plan({ upstreams, isIdle, now })) {
-        orders.push(this.#order(order, planner));
+        orders.push(this.#placeOrder(order, planner));
       }
     }
     await Promise.all(orders);
   }
 
-  #plannerOf(service: Service): FleetPlanner {
-    const known = this.#planners.get(service.name);
-    if (known !== undefined) {
-      known.follow(service);
-      return known;
+  #getOrCreatePlanner(service: Service): FleetPlanner {
+    const existing = this.#planners.get(service.name);
+    if (existing !== undefined) {
+      existing.follow(service);
+      return existing;
     }
     const { clock, fleet } = this.#options;
     const planner = new FleetPlanner(service, {
@@ -197,8 +203,8 @@
     return planner;
   }
 
-  async #order(order: FleetOrder, planner: FleetPlanner): Promise<void> {
-    const holder = this.#holder();
+  async #placeOrder(order: FleetOrder, planner: FleetPlanner): Promise<void> {
+    const holder = this.#activeHolder();
     if (holder === undefined) {
       planner.noteUnknown(order);
       return;
@@ -219,56 +225,64 @@
     } else if (outcome === "unknown") {
       planner.noteUnknown(order);
     }
-    this.#noteFenced(outcome, holder);
+    this.#recordFencing(outcome, holder);
   }
 
-  #presentUpstreams(): UpstreamRecord[] {
+  #listLiveUpstreams(): UpstreamRecord[] {
     const { hub, clock } = this.#options;
-    const present: UpstreamRecord[] = [];
+    const live: UpstreamRecord[] = [];
     for (const { record, receivedAt } of hub.directory.list()) {
-      if (clock.steady() - receivedAt < SILENT_AFTER) {
-        present.push(record);
+      if (clock.steady() - receivedAt < HEARTBEAT_TIMEOUT) {
+        live.push(record);
       }
     }
-    return present;
+    return live;
   }
 
   async #reportUsage(): Promise<void> {
-    const { hub, clock, usageWindow, usageDelay, settled } = this.#options;
+    const { hub, clock, usageWindow, usageDelay, settledCounts } =
+      this.#options;
     const wall = hub.estimateWall(clock.steady());
     if (wall === undefined) {
       return;
     }
-    const last = Math.floor((wall - usageDelay * SETTLE_SHARE) / usageWindow);
-    for (let window = last - LOOK_BACK; window < last; window += 1) {
-      if (this.#reported.has(window)) {
+    const endWindow = Math.floor(
+      (wall - usageDelay * SETTLE_DELAY_SHARE) / usageWindow,
+    );
+    for (
+      let window = endWindow - LOOKBACK_WINDOWS;
+      window < endWindow;
+      window += 1
+    ) {
+      if (this.#reportedWindows.has(window)) {
         continue;
       }
-      if (!settled().has(window)) {
-        await this.#settle(window, wall);
+      if (!settledCounts().has(window)) {
+        await this.#settleWindow(window, wall);
       }
-      const counts = settled().get(window);
+      const counts = settledCounts().get(window);
       if (counts !== undefined) {
-        await this.#report(window, counts);
+        await this.#reportWindow(window, counts);
       }
     }
-    hub.dropUsageBefore(last - 2 * LOOK_BACK);
+    hub.dropUsageBefore(endWindow - 2 * LOOKBACK_WINDOWS);
   }
 
-  async #settle(window: number, wall: Milliseconds): Promise<void> {
+  async #settleWindow(window: number, wall: Milliseconds): Promise<void> {
     const { hub, usageWindow, usageDelay, propose } = this.#options;
     const counts = hub.usageOf(window);
     const isLate = wall - (window + 1) * usageWindow > usageDelay;
-    // Nothing was counted before this process began to listen.
+    // No usage was counted, for example because the window ended before this
+    // process started.
     if (isLate && Object.keys(counts).length === 0) {
-      this.#reported.add(window);
+      this.#reportedWindows.add(window);
       return;
     }
     await propose({ kind: "settle_usage", window, counts });
   }
 
-  async #report(window: number, counts: WorkspaceCounts): Promise<void> {
-    const holder = this.#holder();
+  async #reportWindow(window: number, counts: WorkspaceCounts): Promise<void> {
+    const holder = this.#activeHolder();
     if (holder === undefined) {
       return;
     }
@@ -279,15 +293,15 @@
       fencingToken: holder.fencingToken,
     });
     if (outcome === "accepted") {
-      this.#reported.add(window);
+      this.#reportedWindows.add(window);
     }
-    this.#noteFenced(outcome, holder);
+    this.#recordFencing(outcome, holder);
   }
 
-  #noteFenced(outcome: DutyOutcome, holder: DutyHolder): void {
+  #recordFencing(outcome: LeaderTaskOutcome, holder: LeaderTaskHolder): void {
     if (outcome === "fenced") {
       this.#fencedTerm = holder.fencingToken;
-      this.#options.log.warn("A later holder has the duties", {
+      this.#options.log.warn("A later holder has taken over the leader tasks", {
         fencingToken: holder.fencingToken,
       });
     }
@@ -298,10 +312,10 @@
   return numbers.reduce((total, number) => total + number, 0);
 }
 
-/** Part of the duty's lease that a new holder waits before it acts. */
-const WAIT_SHARE = 0.55;
+/** Share of the leader-task lease that a new holder waits before it acts. */
+const TAKEOVER_WAIT_SHARE = 0.55;
 
-/** Requests under way at the upstreams of a service. */
+/** Counts the requests in flight at the upstreams of a service. */
 function countRequests(
   service: Service,
   options: {
--- a/apps/heroncleatd/hub/member_finder.ts
+++ b/apps/heroncleatd/hub/member_finder.ts
@@ -2,17 +2,16 @@
 import type { JoinReply, ReplicaMember } from "@heroncleat/schema";
 import type { PeerPool } from "@heroncleat/transport";
 import type { Log } from "../common/log.ts";
-import type { FoundingRegister } from "./founding_register.ts";
+import type { BootstrapRegistry } from "./bootstrap_registry.ts";
 
-/** Pause between looks while no replica answers. */
+/** Pause between queries while no replica responds. */
 const SEARCH_PAUSE: Milliseconds = 300;
-/** Pause between looks at who is a member. */
+/** Pause between queries once the members are known. */
 const REFRESH_PAUSE: Milliseconds = 2000;
-const ASK_TIMEOUT: Milliseconds = 700;
+const CALL_TIMEOUT: Milliseconds = 700;
 
-/** What the finder is built from. */
 type FinderOptions = {
-  readonly register: FoundingRegister;
+  readonly registry: BootstrapRegistry;
   readonly pool: Pick<PeerPool, "call">;
   readonly seeds: () => readonly string[];
   readonly ownAddress: string;
@@ -20,23 +19,24 @@
 };
 
 /**
- * Keeps a process without a replica informed of the members of the group: it
- * asks a member, and the seeds while none answers. Replicas tell it on their
- * own where it is a seed, as all seeds may have restarted and know nobody.
+ * Keeps a process without a replica informed of the group's members. It queries
+ * one member at a time, and the seeds while no member responds. If the process
+ * is a seed, replicas also announce the members to it, because all seeds may
+ * have restarted and lost them.
  */
 export class MemberFinder {
   readonly #options: FinderOptions;
   #timer: NodeJS.Timeout | undefined;
   #isStopped = false;
-  #next = 0;
-  #known = "";
+  #nextMember = 0;
+  #loggedNames = "";
 
   constructor(options: FinderOptions) {
     this.#options = options;
   }
 
   start(): void {
-    void this.#look();
+    void this.#refresh();
   }
 
   stop(): void {
@@ -44,56 +44,59 @@
     clearTimeout(this.#timer);
   }
 
-  async #look(): Promise<void> {
-    const { register } = this.#options;
-    const isFound = await this.#askMember(register.members) ||
-      await this.#askSeeds();
-    this.#noteChange();
+  async #refresh(): Promise<void> {
+    const { registry } = this.#options;
+    const isFound = await this.#queryNextMember(registry.members) ||
+      await this.#queryOtherSeeds();
+    this.#logChange();
     if (!this.#isStopped) {
       const pause = isFound ? REFRESH_PAUSE : SEARCH_PAUSE;
-      this.#timer = setTimeout(() => void this.#look(), pause);
+      this.#timer = setTimeout(() => void this.#refresh(), pause);
     }
   }
 
-  /** Another one each time, so that one that is cut off isn't believed long. */
-  async #askMember(members: readonly ReplicaMember[]): Promise<boolean> {
+  /**
+   * Queries a different member each time, so that an outdated reply from a
+   * partitioned member is soon corrected.
+   */
+  async #queryNextMember(members: readonly ReplicaMember[]): Promise<boolean> {
     if (members.length === 0) {
       return false;
     }
-    this.#next = (this.#next + 1) % members.length;
-    return await this.#ask(members[this.#next]!.address);
+    this.#nextMember = (this.#nextMember + 1) % members.length;
+    return await this.#query(members[this.#nextMember]!.address);
   }
 
-  async #askSeeds(): Promise<boolean> {
+  async #queryOtherSeeds(): Promise<boolean> {
     const { seeds, ownAddress } = this.#options;
     const others = seeds().filter((seed) => seed !== ownAddress);
-    const found = await Promise.all(others.map((seed) => this.#ask(seed)));
+    const found = await Promise.all(others.map((seed) => this.#query(seed)));
     return found.includes(true);
   }
 
-  async #ask(address: string): Promise<boolean> {
-    const { pool, register } = this.#options;
+  async #query(address: string): Promise<boolean> {
+    const { pool, registry } = this.#options;
     try {
       const reply = await pool.call(address, "control.join", {
         parameters: {},
-        timeout: ASK_TIMEOUT,
+        timeout: CALL_TIMEOUT,
       }) as JoinReply;
       if (reply.formed) {
-        register.learnGroup(reply.founders, reply.members);
+        registry.recordGroup(reply.founders, reply.members);
       }
       return reply.formed;
     } catch {
-      // Whoever doesn't answer is asked again at a later look.
+      // The next round retries.
       return false;
     }
   }
 
-  #noteChange(): void {
-    const { register, log } = this.#options;
-    const names = register.members.map(({ name }) => name).join(", ");
-    if (names !== this.#known) {
-      this.#known = names;
-      log.info("Passes calls on to the members of the group", {
+  #logChange(): void {
+    const { registry, log } = this.#options;
+    const names = registry.members.map(({ name }) => name).join(", ");
+    if (names !== this.#loggedNames) {
+      this.#loggedNames = names;
+      log.info("Forwards calls to the members of the group", {
         members: names,
       });
     }
--- a/apps/heroncleatd/hub/publish_outcome.ts
+++ b/apps/heroncleatd/hub/publish_outcome.ts
@@ -1,2 +1,2 @@
-/** What a change of the document came to. */
+/** Result of publishing a configuration document. */
 export type PublishOutcome = "accepted" | "unavailable";
--- a/apps/heroncleatd/hub/replica_group.ts
+++ b/apps/heroncleatd/hub/replica_group.ts
@@ -24,30 +24,29 @@
 import { ReplicaAccess } from "../control/replica_access.ts";
 import { ReplicaHost } from "../control/replica_host.ts";
 import type { ReplicaMessage } from "../control/replica_message.ts";
-import { FoundingRegister } from "./founding_register.ts";
-import { foundingCalls } from "./founding_calls.ts";
+import { BootstrapRegistry } from "./bootstrap_registry.ts";
+import { bootstrapCalls } from "./bootstrap_calls.ts";
 import { GroupAnnouncer } from "./group_announcer.ts";
 import type { HubSettings } from "./hub_settings.ts";
 import { joinGroup } from "./join_group.ts";
 import { ServingApplication } from "./serving_application.ts";
 import type { ServingCommand } from "./serving_command.ts";
 
-const TICK = 20;
-/** Heartbeats of a leader within the time that starts an election. */
+const TICK_INTERVAL_MS = 20;
+/** Heartbeats that a leader sends within one election timeout. */
 const HEARTBEATS_PER_TIMEOUT = 5;
-const SNAPSHOT_CHUNK = 256 * 1024;
-const SNAPSHOT_ENTRIES = 200;
-const APPEND_ENTRIES = 64;
+const SNAPSHOT_CHUNK_BYTES = 256 * 1024;
+const ENTRIES_PER_SNAPSHOT = 200;
+const MAX_APPEND_ENTRIES = 64;
 const TRAILING_ENTRIES = 50;
-/** Pause between tries to confirm the state after a start. */
-const CONFIRM_PAUSE = 30;
-const READ_TIMEOUT = 700;
-const REMOTE_TIMEOUT = 700;
+/** Pause between attempts to confirm the state after a start. */
+const CONFIRM_RETRY_MS = 30;
+const READ_TIMEOUT_MS = 700;
+const PROPOSE_TIMEOUT_MS = 700;
 const METHOD_PREFIX = "group";
-/** Time for a transfer of leadership before the process ends. */
-const TRANSFER_TIME = 300;
+/** Time for a transfer of leadership before the process stops. */
+const TRANSFER_TIME_MS = 300;
 
-/** What a group is started with. */
 type GroupOptions = {
   readonly settings: () => HubSettings;
   readonly pool: PeerPool;
@@ -56,17 +55,18 @@
   readonly log: (part: string) => Log;
   readonly metrics: Metrics;
   /**
-   * Called when this replica can't go on, as when its disk takes no bytes.
+   * Called when this replica can't continue, for example because a disk write
+   * failed.
    */
   readonly onFailure: (error: unknown) => void;
 };
 
 type Access = ReplicaAccess<ServingApplication, ServingCommand>;
 
-/** What leads the group now, as a replica that leads sees it. */
+/** The leadership of this replica. */
 export type Leadership = {
   readonly term: number;
-  /** End of the lease on the clock's `now`. */
+  /** Monotonic time at which the lease ends, as given by the clock's `now`. */
   readonly leaseUntil: number;
 };
 
@@ -84,7 +84,7 @@
   readonly #announcer: GroupAnnouncer;
   readonly #journal: Journal;
   #isConfirmed = false;
-  #isOver = false;
+  #isStopped = false;
 
   private constructor(
     options: GroupOptions,
@@ -111,8 +111,8 @@
       heartbeatInterval: electionTimeout / HEARTBEATS_PER_TIMEOUT,
       electionTimeout,
       clockDrift,
-      snapshotChunk: SNAPSHOT_CHUNK,
-      appendEntries: APPEND_ENTRIES,
+      snapshotChunk: SNAPSHOT_CHUNK_BYTES,
+      appendEntries: MAX_APPEND_ENTRIES,
       trailingEntries: TRAILING_ENTRIES,
     }, {
       random: Math.random,
@@ -130,10 +130,10 @@
       directory,
       clock,
       log: log("consensus"),
-      snapshotEntries: SNAPSHOT_ENTRIES,
+      snapshotEntries: ENTRIES_PER_SNAPSHOT,
       sendTo: (address, message) => {
-        // A write that ends after the stop has nobody to answer.
-        if (!this.#isOver) {
+        // A write may finish after the stop, when the pool is closed.
+        if (!this.#isStopped) {
           pool.notify(address, "group.consensus", message);
         }
       },
@@ -143,8 +143,8 @@
     this.#actor = new Actor(startActors() as never, {
       name: "replica",
       log: log("consensus"),
-      // A replica that throws half-way through its effects has a state that
-      // nobody can vouch for; the journal has.
+      // If a replica throws halfway through its effects, its in-memory state is
+      // unreliable; the journal is intact.
       handle: (message) => {
         try {
           host.handle(message);
@@ -157,7 +157,7 @@
     this.#reads = new ConfirmedReads({
       readIndex: (timeout) => this.#access.readIndex(timeout),
       waitApplied: (index, timeout) => this.#access.waitApplied(index, timeout),
-    }, { pool, timeout: READ_TIMEOUT, method: "group.read_index" });
+    }, { pool, timeout: READ_TIMEOUT_MS, method: "group.read_index" });
     this.#reconciler = new GroupReconciler({
       self: parts.self,
       replica: this.#replica,
@@ -175,11 +175,11 @@
     this.#serve(parts.founders);
     this.#ticker = setInterval(() => {
       this.#actor.send({ kind: "event", event: { kind: "tick" } });
-    }, TICK);
+    }, TICK_INTERVAL_MS);
     this.#announcer = new GroupAnnouncer({
       pool,
       seeds: () => options.settings().seeds,
-      describe: () => ({
+      describeGroup: () => ({
         member: parts.self,
         founders: [...parts.founders],
         members: [...this.#replica.members],
@@ -189,7 +189,7 @@
     void this.#confirmOnce();
   }
 
-  /** Opens the disk, finds the group or founds it, and joins it. */
+  /** Opens the disk, then joins the group or bootstraps it. */
   static async start(options: GroupOptions): Promise<ReplicaGroup> {
     const settings = options.settings();
     const identity = await readDiskIdentity(settings.dataFolder);
@@ -207,30 +207,35 @@
       zone: settings.zone,
       voter: true,
     };
-    const register = new FoundingRegister(options.clock.steady());
-    const founding = foundingCalls.methods(register, options.clock);
+    const registry = new BootstrapRegistry(options.clock.steady());
+    const bootstrapMethods = bootstrapCalls.methods(registry, options.clock);
     const stored = await groupFile.read(settings.dataFolder);
-    // A seed that has a group must say so from its first answer.
-    register.learnGroup(stored?.founders ?? [], []);
-    options.serve(founding);
-    const founders = stored?.founders ?? await joinGroup({
+    // A seed that belongs to a group must report it from its first reply on.
+    registry.recordGroup(stored?.founders ?? [], []);
+    options.serve(bootstrapMethods);
+    const initialMembers = stored?.founders ?? await joinGroup({
       self,
       seeds: () => options.settings().seeds,
-      mayFound: settings.isFirstStart,
-      wantedFounders: lossTolerance.voters(settings.toleratedLosses),
+      mayBootstrap: settings.isFirstStart,
+      targetMemberCount: lossTolerance.voters(settings.toleratedLosses),
       clock: options.clock,
       log: options.log("group"),
-      ...foundingCalls.caller(options.pool, {
+      ...bootstrapCalls.caller(options.pool, {
         ownAddress: settings.peerAddress,
-        own: founding,
+        ownMethods: bootstrapMethods,
       }),
     });
     if (stored === undefined) {
-      await groupFile.write(settings.dataFolder, founders);
+      await groupFile.write(settings.dataFolder, initialMembers);
     }
-    register.learnGroup(founders, []);
+    registry.recordGroup(initialMembers, []);
     const { journal, content } = opened.value;
-    return new ReplicaGroup(options, { self, founders, journal, content });
+    return new ReplicaGroup(options, {
+      self,
+      founders: initialMembers,
+      journal,
+      content,
+    });
   }
 
   /** Peer addresses of all members. */
@@ -242,83 +247,85 @@
     return this.#self.address;
   }
 
-  /** How the group stands, as this replica knows it. */
+  /** State of the group as observed by this replica. */
   get state(): GroupState {
     return this.#reconciler.state;
   }
 
-  /** The state here; it may lag behind the group's. */
+  /** The local state, which may lag behind the group's. */
   get application(): ServingApplication {
     return this.#application;
   }
 
-  /** Whether the state here was once confirmed to be current. */
+  /** Whether the local state has been confirmed as current since the start. */
   get isConfirmed(): boolean {
     return this.#isConfirmed;
   }
 
-  /** Present while this replica leads under a lease. */
+  /** Defined while this replica leads under a valid lease. */
   get leadership(): Leadership | undefined {
     const { leaseUntil, role, term } = this.#replica;
-    const leads = role === ReplicaRole.leader &&
+    const isLeading = role === ReplicaRole.leader &&
       leaseUntil > this.#options.clock.now();
-    return leads ? { term, leaseUntil } : undefined;
+    return isLeading ? { term, leaseUntil } : undefined;
   }
 
-  /** Commits a command here or at the leader. */
+  /** Commits a command through this replica or the leader. */
   async propose(command: ServingCommand): Promise<ProposalOutcome> {
-    const outcome = await this.#access.propose(command, REMOTE_TIMEOUT);
+    const outcome = await this.#access.propose(command, PROPOSE_TIMEOUT_MS);
     if (outcome.kind !== "not_leader" || outcome.leader === "") {
       return outcome;
     }
     try {
       return await this.#options.pool.call(outcome.leader, "group.propose", {
         parameters: command,
-        timeout: REMOTE_TIMEOUT,
+        timeout: PROPOSE_TIMEOUT_MS,
       }) as ProposalOutcome;
     } catch {
       return { kind: "unknown" };
     }
   }
 
-  /** Whether the state here is current, as a quorum confirms. */
+  /** Confirms with a quorum that the local state is current. */
   async confirm(): Promise<boolean> {
     const confirmation = await this.#reads.confirm();
     return confirmation.kind === "confirmed";
   }
 
-  /** Hands leadership over before the process ends. */
+  /** Hands over leadership, then stops. */
   async stop(): Promise<void> {
     this.#reconciler.stop();
     this.#actor.send({ kind: "event", event: { kind: "step_down" } });
-    await new Promise((resolve) => setTimeout(resolve, TRANSFER_TIME));
+    await new Promise((resolve) => setTimeout(resolve, TRANSFER_TIME_MS));
     clearInterval(this.#ticker);
     this.#announcer.stop();
-    this.#isOver = true;
+    this.#isStopped = true;
     this.#actor.stop();
     await this.#journal.close();
   }
 
-  /** Takes no further part; what was acknowledged is on the disk. */
+  /**
+   * Stops this replica for good. Everything that it acknowledged is on disk.
+   */
   #fail(error: unknown): void {
-    if (this.#isOver) {
+    if (this.#isStopped) {
       return;
     }
-    this.#isOver = true;
+    this.#isStopped = true;
     this.#reconciler.stop();
     clearInterval(this.#ticker);
     this.#announcer.stop();
     this.#actor.stop();
     this.#journal.close().catch(() => {
-      // The disk has failed already, which is what is reported.
+      // The failure that caused this stop is reported instead.
     });
     this.#options.onFailure(error);
   }
 
   async #confirmOnce(): Promise<void> {
-    while (!this.#isConfirmed && !this.#isOver) {
+    while (!this.#isConfirmed && !this.#isStopped) {
       this.#isConfirmed = await this.confirm();
-      await new Promise((resolve) => setTimeout(resolve, CONFIRM_PAUSE));
+      await new Promise((resolve) => setTimeout(resolve, CONFIRM_RETRY_MS));
     }
   }
 
@@ -329,7 +336,7 @@
     });
   }
 
-  #serve(founders: readonly ReplicaMember[]): void {
+  #serve(initialMembers: readonly ReplicaMember[]): void {
     this.#options.serve({
       "group.consensus": (message) => {
         if (checkConsensusMessage(message)) {
@@ -343,12 +350,12 @@
         formed: true,
         self: this.#self,
         members: [...this.#replica.members],
-        founders: [...founders],
+        founders: [...initialMembers],
       }),
       ...this.#reconciler.methods(),
-      "group.read_index": () => this.#access.readIndex(READ_TIMEOUT),
+      "group.read_index": () => this.#access.readIndex(READ_TIMEOUT_MS),
       "group.propose": (parameters) =>
-        this.#access.propose(parameters as ServingCommand, REMOTE_TIMEOUT),
+        this.#access.propose(parameters as ServingCommand, PROPOSE_TIMEOUT_MS),
     });
   }
 }
--- a/apps/heroncleatd/hub/restarting_upstream.ts
+++ b/apps/heroncleatd/hub/restarting_upstream.ts
@@ -3,38 +3,37 @@
 
 const HOST = "127.0.0.1";
 
-/** What a test's upstream is made with. */
 type UpstreamOptions = {
   readonly name: string;
   readonly port: number;
-  /** Time that a request takes. */
-  readonly work: number;
-  /** Time after an end at which it runs again, as another start. */
+  /** Time to run a request, in ms. */
+  readonly serviceTime: number;
+  /** Time from a crash to the start of the next instance, in ms. */
   readonly downtime: number;
-  /** Whether a request ends the upstream that runs it. */
-  readonly endsIt: (body: string) => boolean;
+  /** Whether the request with this body crashes the upstream. */
+  readonly crashesOn: (body: string) => boolean;
   readonly report: (record: UpstreamRecord) => void;
-  /** Called with each request that begins to run. */
+  /** Called with the body of each request that begins to run. */
   readonly onRun: (body: string) => void;
-  /** Called when it has ended, with the body under which it did. */
-  readonly onEnd: (body: string) => void;
+  /** Called after a crash, with the body of the request that caused it. */
+  readonly onCrash: (body: string) => void;
 };
 
-/** Time from the start of a run to the end of the upstream under it. */
-const ENDS_AFTER = 40;
-const HEARTBEAT_INTERVAL = 1000;
+/** Time from the start of a run until the upstream crashes. */
+const CRASH_DELAY_MS = 40;
+const HEARTBEAT_INTERVAL_MS = 1000;
 
 /**
- * An upstream of the service `desk` that can end at once with all its
- * connections, and runs again after a time.
+ * A test upstream of the service `desk` that can crash, dropping all its
+ * connections, and restarts later as a new instance.
  */
 export class RestartingUpstream {
   readonly #options: UpstreamOptions;
   #server: Server | undefined;
   #born = 1000;
   #sequence = 0;
-  #beats: NodeJS.Timeout | undefined;
-  #restart: NodeJS.Timeout | undefined;
+  #heartbeatTimer: NodeJS.Timeout | undefined;
+  #restartTimer: NodeJS.Timeout | undefined;
 
   constructor(options: UpstreamOptions) {
     this.#options = options;
@@ -52,10 +51,10 @@
           "content-length": 7,
         });
         response.flushHeaders();
-        if (this.#options.endsIt(body)) {
-          setTimeout(() => this.end(body), ENDS_AFTER);
+        if (this.#options.crashesOn(body)) {
+          setTimeout(() => this.crash(body), CRASH_DELAY_MS);
         } else {
-          setTimeout(() => response.end("table 7"), this.#options.work);
+          setTimeout(() => response.end("table 7"), this.#options.serviceTime);
         }
       });
     });
@@ -65,27 +64,33 @@
     this.#server = server;
     this.#born += 1000;
     this.#heartbeat();
-    this.#beats = setInterval(() => this.#heartbeat(), HEARTBEAT_INTERVAL);
+    this.#heartbeatTimer = setInterval(
+      () => this.#heartbeat(),
+      HEARTBEAT_INTERVAL_MS,
+    );
   }
 
-  /** Ends without a word, and runs again later. */
-  end(body: string): void {
+  /**
+   * Closes all connections without reporting a departure, and schedules a
+   * restart.
+   */
+  crash(body: string): void {
     if (this.#server === undefined) {
       return;
     }
     this.#close();
-    this.#options.onEnd(body);
+    this.#options.onCrash(body);
     const { downtime } = this.#options;
-    this.#restart = setTimeout(() => void this.start(), downtime);
+    this.#restartTimer = setTimeout(() => void this.start(), downtime);
   }
 
   stop(): void {
-    clearTimeout(this.#restart);
+    clearTimeout(this.#restartTimer);
     this.#close();
   }
 
   #close(): void {
-    clearInterval(this.#beats);
+    clearInterval(this.#heartbeatTimer);
     this.#server?.close();
     this.#server?.closeAllConnections();
     this.#server = undefined;
--- a/apps/heroncleatd/hub/run_tool.ts
+++ b/apps/heroncleatd/hub/run_operator_tool.ts
@@ -4,25 +4,28 @@
 import { join } from "node:path";
 
 /**
- * Runs the operators' tool against the first two processes of a test's group,
- * and returns what it prints.
+ * Runs the operators' tool against the first two processes of a test group.
+ *
+ * @returns The tool's output, standard output before standard error.
  */
-export function runTool(
+export function runOperatorTool(
   firstPort: number,
-  words: readonly string[],
+  args: readonly string[],
 ): Promise<string> {
-  const secret = join(
+  const secretFile = join(
     mkdtempSync(join(tmpdir(), "heroncleat-tool-")),
     "secret",
   );
-  writeFileSync(secret, "s\n");
-  const peers = [0, 1].map((at) => `127.0.0.1:${firstPort + at}`).join(",");
-  const options = ["--peers", peers, "--secret-file", secret];
+  writeFileSync(secretFile, "s\n");
+  const peers = [0, 1].map((index) => `127.0.0.1:${firstPort + index}`).join(
+    ",",
+  );
+  const options = ["--peers", peers, "--secret-file", secretFile];
   const script = "apps/heroncleat/dist/main.js";
   return new Promise((resolve) => {
     execFile(
       process.execPath,
-      [script, ...words, ...options],
+      [script, ...args, ...options],
       (_, stdout, stderr) => resolve(stdout + stderr),
     );
   });
--- a/apps/heroncleatd/hub/running_hub.ts
+++ b/apps/heroncleatd/hub/running_hub.ts
@@ -4,17 +4,27 @@
 import type { StoredDocument } from "./serving_application.ts";
 import type { UpdateOutcome } from "./update_outcome.ts";
 
-/** What operators and upstreams may ask of a process of the control role. */
+/** Operations that a control process offers to operators and upstreams. */
 export type RunningHub = {
-  /** Puts a checked document in force; accepted once a quorum has it. */
+  /**
+   * Publishes a validated configuration document; accepted once a quorum has
+   * stored it.
+   */
   publish(document: ServingDocument, source: string): Promise<PublishOutcome>;
-  /** The newest document, or why it isn't known for sure. */
+  /**
+   * Reads the newest configuration document: `none` if none was published,
+   * `unavailable` if no quorum confirms it.
+   */
   readDocument(): Promise<StoredDocument | "none" | "unavailable">;
-  /** Takes updates of an upstream in. */
+  /** Merges a heartbeat of an upstream. */
   mergeUpstream(record: UpstreamRecord): Promise<UpdateOutcome>;
-  /** Counts and logs updates under a name that can't be read. */
-  noteUnreadable(name: string, problem: string): void;
-  /** @param born When the start that leaves began, if it said so. */
+  /** Counts and logs a malformed update of an upstream. */
+  recordUnreadable(name: string, problem: string): void;
+  /**
+   * Records that an upstream is gone.
+   *
+   * @param born When the departing instance started, if it reported that.
+   */
   removeUpstream(name: string, born?: Milliseconds): Promise<UpdateOutcome>;
   stop(): Promise<void>;
 };
--- a/apps/heroncleatd/hub/serving_application.ts
+++ b/apps/heroncleatd/hub/serving_application.ts
@@ -2,42 +2,46 @@
 import type { WorkspaceCounts } from "@heroncleat/serving";
 import type { ServingCommand } from "./serving_command.ts";
 
-/** The newest document as it was sent. */
+/** The newest configuration document as it was published. */
 export type StoredDocument = {
   readonly version: number;
   readonly source: string;
 };
 
-/** Usage windows whose settled counts are kept for a new holder. */
-const KEPT_WINDOWS = 20;
-const FORMAT = 1;
+/** Number of usage windows whose settled counts are kept for a new leader. */
+const RETAINED_WINDOWS = 20;
+const SNAPSHOT_FORMAT = 1;
 
 /**
- * What the control group replicates for request forwarding: the document in
- * force, and the counts of usage windows, so that every holder of the duty
- * reports the same ones.
+ * Replicated state of request forwarding: the configuration document, and the
+ * settled counts of usage windows, so that every leader reports the same
+ * counts.
  */
 export class ServingApplication {
   #document: StoredDocument | undefined;
-  #settled = new Map<number, WorkspaceCounts>();
+  #settledCounts = new Map<number, WorkspaceCounts>();
 
   get document(): StoredDocument | undefined {
     return this.#document;
   }
 
-  /** Settled counts by number of the window. */
-  get settled(): ReadonlyMap<number, WorkspaceCounts> {
-    return this.#settled;
+  /** Settled counts by window number. */
+  get settledCounts(): ReadonlyMap<number, WorkspaceCounts> {
+    return this.#settledCounts;
   }
 
-  /** Applies a committed command; returns the version now held. */
+  /**
+   * Applies a committed command.
+   *
+   * @returns The version of the document now stored, or -1 without one.
+   */
   apply(command: ServingCommand): number {
     switch (command.kind) {
       case "publish":
         this.#publish(command);
         break;
       case "settle_usage":
-        this.#settle(command.window, command.counts);
+        this.#settleWindow(command.window, command.counts);
         break;
       default:
         unreachable(command);
@@ -47,9 +51,9 @@
 
   snapshot(): string {
     return JSON.stringify({
-      format: FORMAT,
+      format: SNAPSHOT_FORMAT,
       document: this.#document,
-      settled: [...this.#settled],
+      settled: [...this.#settledCounts],
     });
   }
 
@@ -59,14 +63,14 @@
       document?: StoredDocument;
       settled: [number, WorkspaceCounts][];
     };
-    if (stored.format !== FORMAT) {
+    if (stored.format !== SNAPSHOT_FORMAT) {
       throw new Error(
         `The snapshot has format ${stored.format}; this program reads ` +
-          `${FORMAT}. Remedy: run the release that wrote it.`,
+          `${SNAPSHOT_FORMAT}. Remedy: run the release that wrote it.`,
       );
     }
     this.#document = stored.document;
-    this.#settled = new Map(stored.settled);
+    this.#settledCounts = new Map(stored.settled);
   }
 
   #publish(command: Extract<ServingCommand, { kind: "publish" }>): void {
@@ -76,15 +80,15 @@
     }
   }
 
-  /** The first counts of a window stand. */
-  #settle(window: number, counts: WorkspaceCounts): void {
-    if (this.#settled.has(window)) {
+  /** Keeps the first counts of a window; later ones are ignored. */
+  #settleWindow(window: number, counts: WorkspaceCounts): void {
+    if (this.#settledCounts.has(window)) {
       return;
     }
-    this.#settled.set(window, counts);
-    for (const known of this.#settled.keys()) {
-      if (known <= window - KEPT_WINDOWS) {
-        this.#settled.delete(known);
+    this.#settledCounts.set(window, counts);
+    for (const settledWindow of this.#settledCounts.keys()) {
+      if (settledWindow <= window - RETAINED_WINDOWS) {
+        this.#settledCounts.delete(settledWindow);
       }
     }
   }
--- a/apps/heroncleatd/hub/serving_command.ts
+++ b/apps/heroncleatd/hub/serving_command.ts
@@ -2,7 +2,10 @@
 
 /** A change to the replicated state of request forwarding. */
 export type ServingCommand =
-  /** Replaces the document, unless one of its version or later is held. */
+  /**
+   * Replaces the configuration document unless the stored version is the same
+   * or newer.
+   */
   | {
     readonly kind: "publish";
     readonly version: number;
--- a/apps/heroncleatd/hub/simulated_founding.ts
+++ b/apps/heroncleatd/hub/simulated_bootstrap.ts
@@ -2,24 +2,24 @@
 import { lossTolerance } from "@heroncleat/consensus";
 import type { FoundingView, ReplicaMember } from "@heroncleat/schema";
 import type { Log } from "../common/log.ts";
-import { foundingCalls } from "./founding_calls.ts";
-import { FoundingRegister } from "./founding_register.ts";
+import { bootstrapCalls } from "./bootstrap_calls.ts";
+import { BootstrapRegistry } from "./bootstrap_registry.ts";
 import { joinGroup } from "./join_group.ts";
 
-/** A message takes up to this each way, in ms. */
-const MOST_DELAY = 40;
-const LOST_SHARE = 0.02;
-/** Silence after which a call that was lost has failed, in ms. */
-const CALL_TIMEOUT = 1000;
-const ANNOUNCE_INTERVAL = 1000;
-/** A sync of the disk takes up to this, in ms. */
-const MOST_SYNC = 30;
-const quiet: Log = { debug() {}, info() {}, warn() {}, error() {} };
+/** Maximum delay of a message in one direction. */
+const MAX_MESSAGE_DELAY_MS = 40;
+const MESSAGE_LOSS_RATE = 0.02;
+/** Time after which a call whose message was lost fails. */
+const CALL_TIMEOUT_MS = 1000;
+const ANNOUNCE_INTERVAL_MS = 1000;
+/** Maximum duration of a disk sync. */
+const MAX_DISK_SYNC_MS = 30;
+const silentLog: Log = { debug() {}, info() {}, warn() {}, error() {} };
 
-/** A process of the control role; a new one after each start. */
+/** One run of a control process. */
 type SimulatedProcess = {
-  readonly register: FoundingRegister;
-  readonly methods: ReturnType<typeof foundingCalls.methods>;
+  readonly registry: BootstrapRegistry;
+  readonly methods: ReturnType<typeof bootstrapCalls.methods>;
 };
 
 /** A VM of the control role. */
@@ -27,21 +27,21 @@
   readonly name: string;
   readonly member: ReplicaMember;
   readonly hasDisk: boolean;
-  /** On its disk; undefined for none. */
+  /** The initial members as stored on disk; undefined if none are stored. */
   founders: readonly ReplicaMember[] | undefined;
   process: SimulatedProcess | undefined;
 };
 
 /**
- * The first start of a control group in virtual time: VMs with a disk found it
- * by way of seeds of which any may have none, over a network that delays and
- * loses messages.
+ * Simulates the first start of a control group in virtual time. VMs with a disk
+ * bootstrap the group through seeds, some or all of which may have no disk,
+ * over a network that delays and loses messages.
  */
-export class SimulatedFounding {
+export class SimulatedBootstrap {
   readonly vms: SimulatedVm[] = [];
   readonly random: Random;
   readonly #seeds: readonly string[];
-  readonly #losses: number;
+  readonly #toleratedLosses: number;
   readonly #now: () => number;
 
   /** @param disks For each zone, whether each of its VMs has a disk. */
@@ -50,11 +50,11 @@
     options: { seed: number; losses: number; now: () => number },
   ) {
     this.random = createSeededRandom(Math.imul(options.seed + 1, 0x9e3779b1));
-    this.#losses = options.losses;
+    this.#toleratedLosses = options.losses;
     this.#now = options.now;
     for (const [zone, vms] of disks.entries()) {
-      for (const [at, hasDisk] of vms.entries()) {
-        const name = `${"abcdef"[zone]}${at}`;
+      for (const [index, hasDisk] of vms.entries()) {
+        const name = `${"abcdef"[zone]}${index}`;
         const member = {
           id: `disk-${name}`,
           name,
@@ -88,22 +88,22 @@
   }
 
   start(vm: SimulatedVm): void {
-    const register = new FoundingRegister(this.#now());
+    const registry = new BootstrapRegistry(this.#now());
     const clock = { steady: this.#now } as never;
-    const methods = foundingCalls.methods(register, clock);
-    const process = { register, methods };
+    const methods = bootstrapCalls.methods(registry, clock);
+    const process = { registry, methods };
     vm.process = process;
     if (vm.hasDisk) {
       void this.#runReplica(vm, process);
     }
   }
 
-  /** Its process is gone, and all that it held in memory. */
+  /** Stops the process; its in-memory state is lost. */
   kill(vm: SimulatedVm): void {
     vm.process = undefined;
   }
 
-  /** Ends all processes, and with them what they wait for. */
+  /** Stops all processes, so that none waits any longer. */
   close(): void {
     for (const vm of this.vms) {
       this.kill(vm);
@@ -113,65 +113,65 @@
   async #runReplica(vm: SimulatedVm, process: SimulatedProcess): Promise<void> {
     const call = (seed: string, method: string, parameters: unknown) =>
       this.#call({ vm, process }, seed, { method, parameters });
-    const founders = vm.founders ?? await joinGroup({
+    const initialMembers = vm.founders ?? await joinGroup({
       self: vm.member,
       seeds: () => this.#seeds,
-      mayFound: true,
-      wantedFounders: lossTolerance.voters(this.#losses),
+      mayBootstrap: true,
+      targetMemberCount: lossTolerance.voters(this.#toleratedLosses),
       clock: { steady: this.#now } as never,
-      log: quiet,
+      log: silentLog,
       register: (seed, request) => call(seed, "group.register", request),
       hold: (seed, request) => call(seed, "group.hold", request),
     });
-    await pause(this.random() * MOST_SYNC);
+    await pause(this.random() * MAX_DISK_SYNC_MS);
     if (vm.process !== process) {
       return;
     }
-    vm.founders = founders;
-    process.register.learnGroup(founders, []);
+    vm.founders = initialMembers;
+    process.registry.recordGroup(initialMembers, []);
     while (vm.process === process) {
       for (const seed of this.#seeds) {
         const request = {
           member: vm.member,
-          founders: [...founders],
-          members: [...founders],
+          founders: [...initialMembers],
+          members: [...initialMembers],
         };
         call(seed, "group.register", request).catch(() => undefined);
       }
-      await pause(ANNOUNCE_INTERVAL);
+      await pause(ANNOUNCE_INTERVAL_MS);
     }
   }
 
-  /** A process that is gone never hears of an answer. */
+  /** Calls that a stopped process has made never settle. */
   async #call(
     from: { vm: SimulatedVm; process: SimulatedProcess },
     seed: string,
     { method, parameters }: { method: string; parameters: unknown },
   ): Promise<FoundingView> {
     const peer = this.vms.find(({ member }) => member.address === seed)!;
-    const isOwn = peer === from.vm;
-    await this.#travel(isOwn);
+    const isLocal = peer === from.vm;
+    await this.#delayMessage(isLocal);
     const called = peer.process;
     if (called === undefined) {
-      throw new Error(`${seed} isn't up.`);
+      throw new Error(`${seed} isn't running.`);
     }
     const view = called.methods[method]!(structuredClone(parameters));
-    await this.#travel(isOwn);
+    await this.#delayMessage(isLocal);
     if (from.vm.process !== from.process) {
       return await new Promise(() => {});
     }
     return structuredClone(view) as FoundingView;
   }
 
-  async #travel(isOwn: boolean): Promise<void> {
-    if (isOwn) {
+  async #delayMessage(isLocal: boolean): Promise<void> {
+    if (isLocal) {
       return;
     }
-    if (this.random() < LOST_SHARE) {
-      await pause(CALL_TIMEOUT);
+    if (this.random() < MESSAGE_LOSS_RATE) {
+      await pause(CALL_TIMEOUT_MS);
       throw new Error("timed out");
     }
-    await pause(this.random() * MOST_DELAY);
+    await pause(this.random() * MAX_MESSAGE_DELAY_MS);
   }
 }
 
--- a/apps/heroncleatd/hub/simulated_leaves.ts
+++ b/apps/heroncleatd/hub/simulated_departures.ts
@@ -5,126 +5,131 @@
   UpstreamDirectory,
   type UpstreamRecord,
 } from "@heroncleat/serving";
-import { LeaveReplicator } from "./leave_replicator.ts";
+import { DepartureReplicator } from "./departure_replicator.ts";
 
-const REPLICAS = 4;
+const REPLICA_COUNT = 4;
 const TOLERATED_LOSSES = 1;
-const ENTRIES = 3;
+const ENTRY_COUNT = 3;
 const STEP: Milliseconds = 50;
-const HEARTBEAT: Milliseconds = 1000;
-/** Pause between two reads of another replica's feed. */
-const FEED_PAUSE: Milliseconds = 200;
-/** Pause of an entry between two exchanges with a replica. */
-const EXCHANGE_PAUSE: Milliseconds = 400;
-/** Time after which another replica may be lost. */
-const CATCH_UP: Milliseconds = 1500;
-const LENGTH: Milliseconds = 14_000;
-const NAME = "desk-1";
+const HEARTBEAT_INTERVAL: Milliseconds = 1000;
+/** Interval between two reads of another replica's change feed. */
+const FEED_INTERVAL: Milliseconds = 200;
+/** Interval between two exchanges of an entry with a replica. */
+const EXCHANGE_INTERVAL: Milliseconds = 400;
+/** Minimum time between a restart and the next loss. */
+const CATCH_UP_TIME: Milliseconds = 1500;
+const SIMULATED_TIME: Milliseconds = 14_000;
+const UPSTREAM_NAME = "desk-1";
 
-/** One control replica: its memory, its disk and whether it runs. */
+/** A control replica with its memory, its disk and its next start time. */
 type SimulatedReplica = {
   readonly address: string;
   hub: Hub;
-  replicator: LeaveReplicator;
+  replicator: DepartureReplicator;
   readonly disk: Map<string, UpstreamRecord>;
-  upFrom: Milliseconds;
+  upAt: Milliseconds;
 };
 
-/** One entry, which may be started anew. */
+/** An entry, which may be restarted. */
 type SimulatedEntry = {
   directory: UpstreamDirectory;
-  upFrom: Milliseconds;
-  /** How far it has read each replica's feed. */
+  upAt: Milliseconds;
+  /** Position up to which the entry has read each replica's change feed. */
   feeds: Map<string, { feed: string; revision: number }>;
 };
 
-/** What the simulation is run with. */
 type SimulationOptions = {
   readonly random: Random;
-  /** Whether replicas know each other; else each one acknowledges alone. */
-  readonly isGroup: boolean;
+  /**
+   * Whether departures are replicated; otherwise each replica acknowledges on
+   * its own.
+   */
+  readonly isReplicated: boolean;
 };
 
-/** When an entry last used the upstream. */
-type Usage = {
+/**
+ * When the departure was acknowledged and when an entry last chose the
+ * upstream.
+ */
+type DepartureResult = {
   readonly acknowledgedAt: Milliseconds;
   readonly lastUsedAt: Milliseconds;
 };
 
 /**
- * An upstream that reports to control replicas and leaves, while replicas are
- * lost with their disks or without, restart all at once, and entries start
- * anew: the real state machines in virtual time. Calls take none.
+ * Simulates the departure of an upstream while replicas lose their disks or
+ * restart, alone or all at once, and entries restart. Runs the real state
+ * machines in virtual time; calls complete instantly.
  */
-export class SimulatedLeaves {
+export class SimulatedDepartures {
   readonly #options: SimulationOptions;
   readonly #replicas: SimulatedReplica[] = [];
   readonly #entries: SimulatedEntry[] = [];
   #now: Milliseconds = 0;
-  #boots = 0;
+  #incarnations = 0;
   #sequence = 0;
-  #lossAllowedAt: Milliseconds = 0;
+  #nextLossAt: Milliseconds = 0;
   #lastUsedAt = -Infinity;
 
   constructor(options: SimulationOptions) {
     this.#options = options;
-    for (let at = 0; at < REPLICAS; at += 1) {
-      this.#replicas.push(this.#createReplica(`r${at}:1`));
+    for (let index = 0; index < REPLICA_COUNT; index += 1) {
+      this.#replicas.push(this.#createReplica(`r${index}:1`));
     }
-    for (let at = 0; at < ENTRIES; at += 1) {
+    for (let index = 0; index < ENTRY_COUNT; index += 1) {
       this.#entries.push(this.#createEntry(0));
     }
   }
 
-  /** Plays one leave to its end. */
-  async run(): Promise<Usage> {
+  /** Runs the simulation of one departure. */
+  async run(): Promise<DepartureResult> {
     const { random } = this.#options;
-    const leaveAt = 2000 + random() * 2000;
+    const departAt = 2000 + random() * 2000;
     let acknowledgedAt = Infinity;
-    for (; this.#now < LENGTH; this.#now += STEP) {
-      if (this.#now < leaveAt) {
+    for (; this.#now < SIMULATED_TIME; this.#now += STEP) {
+      if (this.#now < departAt) {
         this.#heartbeat();
-      } else if (acknowledgedAt === Infinity && await this.#leave()) {
+      } else if (acknowledgedAt === Infinity && await this.#reportDeparture()) {
         acknowledgedAt = this.#now;
-        this.#loseAfterAcknowledgement();
+        this.#failAfterAcknowledgement();
       }
-      this.#disturb();
+      this.#injectFaults();
       this.#readFeeds();
       this.#exchange();
-      this.#use();
+      this.#sendRequests();
     }
     return { acknowledgedAt, lastUsedAt: this.#lastUsedAt };
   }
 
   #createReplica(address: string): SimulatedReplica {
-    this.#boots += 1;
+    this.#incarnations += 1;
     const replica: SimulatedReplica = {
       address,
-      hub: new Hub(`${address}-${this.#boots}`),
+      hub: new Hub(`${address}-${this.#incarnations}`),
       replicator: undefined as never,
       disk: new Map(),
-      upFrom: 0,
+      upAt: 0,
     };
     replica.replicator = this.#createReplicator(replica);
     return replica;
   }
 
-  #createReplicator(replica: SimulatedReplica): LeaveReplicator {
-    return new LeaveReplicator({
+  #createReplicator(replica: SimulatedReplica): DepartureReplicator {
+    return new DepartureReplicator({
       members: () =>
-        this.#options.isGroup
+        this.#options.isReplicated
           ? this.#replicas.map(({ address }) => address)
           : [replica.address],
       ownAddress: replica.address,
       toleratedLosses: () => TOLERATED_LOSSES,
-      keep: (record) => {
+      persist: (record) => {
         replica.disk.set(record.id, record);
         return Promise.resolve();
       },
       send: (member, record) => {
         const other = this.#replicas.find(({ address }) => address === member)!;
         if (!this.#isUp(other)) {
-          return Promise.reject(new Error("It doesn't run."));
+          return Promise.reject(new Error("The replica isn't running."));
         }
         const source = { reporter: replica.address, age: 0 };
         other.hub.mergeUpstream(record, this.#now, source);
@@ -134,34 +139,34 @@
     });
   }
 
-  #createEntry(upFrom: Milliseconds): SimulatedEntry {
-    return { directory: new UpstreamDirectory(), upFrom, feeds: new Map() };
+  #createEntry(upAt: Milliseconds): SimulatedEntry {
+    return { directory: new UpstreamDirectory(), upAt, feeds: new Map() };
   }
 
-  #isUp({ upFrom }: { upFrom: Milliseconds }): boolean {
-    return upFrom <= this.#now;
+  #isUp({ upAt }: { upAt: Milliseconds }): boolean {
+    return upAt <= this.#now;
   }
 
   #running(): SimulatedReplica[] {
     return this.#replicas.filter((replica) => this.#isUp(replica));
   }
 
-  #drawReplica(): SimulatedReplica | undefined {
+  #pickReplica(): SimulatedReplica | undefined {
     const running = this.#running();
     return running[Math.floor(this.#options.random() * running.length)];
   }
 
   #heartbeat(): void {
-    if (this.#now % HEARTBEAT === 0) {
+    if (this.#now % HEARTBEAT_INTERVAL === 0) {
       this.#sequence += 1;
-      this.#drawReplica()?.hub.mergeUpstream(this.#record(), this.#now);
+      this.#pickReplica()?.hub.mergeUpstream(this.#record(), this.#now);
     }
   }
 
   #record(): UpstreamRecord {
     return {
-      id: NAME,
-      name: NAME,
+      id: UPSTREAM_NAME,
+      name: UPSTREAM_NAME,
       born: undefined,
       service: "desk",
       address: "10.0.0.1:80",
@@ -174,47 +179,55 @@
     };
   }
 
-  /** Says once to a replica that it leaves; whether that is acknowledged. */
-  async #leave(): Promise<boolean> {
-    const replica = this.#drawReplica();
+  /**
+   * Reports the departure to one replica, and returns whether it was
+   * acknowledged.
+   */
+  async #reportDeparture(): Promise<boolean> {
+    const replica = this.#pickReplica();
     if (replica === undefined) {
       return false;
     }
     const { hub, replicator } = replica;
-    hub.removeUpstream(NAME, this.#now);
-    const record = hub.directory.get(NAME)!.record;
-    const { isSafe } = await replicator.replicate(record);
-    return isSafe;
+    hub.removeUpstream(UPSTREAM_NAME, this.#now);
+    const record = hub.directory.get(UPSTREAM_NAME)!.record;
+    const { isDurable } = await replicator.replicate(record);
+    return isDurable;
   }
 
-  /** The worst moment: nobody has asked since. */
-  #loseAfterAcknowledgement(): void {
+  /**
+   * Fails replicas at the worst moment, before any entry or replica has read
+   * the departure.
+   */
+  #failAfterAcknowledgement(): void {
     const { random } = this.#options;
     if (random() < 0.3) {
       for (const replica of this.#replicas) {
         this.#restart(replica, { losesDisk: false });
       }
-    } else if (this.#now >= this.#lossAllowedAt) {
-      const knowing = this.#replicas.filter(({ disk }) => disk.has(NAME));
-      const lost = knowing[Math.floor(random() * knowing.length)]!;
+    } else if (this.#now >= this.#nextLossAt) {
+      const holders = this.#replicas.filter(({ disk }) =>
+        disk.has(UPSTREAM_NAME)
+      );
+      const lost = holders[Math.floor(random() * holders.length)]!;
       this.#restart(lost, { losesDisk: random() < 0.5 });
     }
   }
 
-  #disturb(): void {
+  #injectFaults(): void {
     const { random } = this.#options;
-    if (random() < 0.02 && this.#now >= this.#lossAllowedAt) {
-      const lost = this.#replicas[Math.floor(random() * REPLICAS)]!;
+    if (random() < 0.02 && this.#now >= this.#nextLossAt) {
+      const lost = this.#replicas[Math.floor(random() * REPLICA_COUNT)]!;
       this.#restart(lost, { losesDisk: random() < 0.5 });
     }
     if (random() < 0.02) {
-      const at = Math.floor(random() * ENTRIES);
-      this.#entries[at] = this.#createEntry(this.#now + random() * 1000);
+      const index = Math.floor(random() * ENTRY_COUNT);
+      this.#entries[index] = this.#createEntry(this.#now + random() * 1000);
     }
-    // A heartbeat of before that a cut held up.
+    // A delayed heartbeat from before the departure.
     if (random() < 0.02 && this.#now > 1000) {
-      const late = { ...this.#record(), sequence: this.#sequence };
-      this.#drawReplica()?.hub.mergeUpstream(late, this.#now);
+      const delayed = { ...this.#record(), sequence: this.#sequence };
+      this.#pickReplica()?.hub.mergeUpstream(delayed, this.#now);
     }
   }
 
@@ -222,28 +235,28 @@
     replica: SimulatedReplica,
     { losesDisk }: { losesDisk: boolean },
   ): void {
-    this.#boots += 1;
-    replica.upFrom = this.#now + 200 + this.#options.random() * 1500;
-    this.#lossAllowedAt = replica.upFrom + CATCH_UP;
-    replica.hub = new Hub(`${replica.address}-${this.#boots}`);
+    this.#incarnations += 1;
+    replica.upAt = this.#now + 200 + this.#options.random() * 1500;
+    this.#nextLossAt = replica.upAt + CATCH_UP_TIME;
+    replica.hub = new Hub(`${replica.address}-${this.#incarnations}`);
     replica.replicator = this.#createReplicator(replica);
     if (losesDisk) {
       replica.disk.clear();
     }
     for (const record of replica.disk.values()) {
-      replica.hub.mergeUpstream(record, replica.upFrom);
+      replica.hub.mergeUpstream(record, replica.upAt);
     }
   }
 
   #readFeeds(): void {
-    if (this.#now % FEED_PAUSE !== 0) {
+    if (this.#now % FEED_INTERVAL !== 0) {
       return;
     }
     for (const reader of this.#running()) {
       for (const other of this.#running()) {
         if (other !== reader) {
-          const whole = { feed: "", revision: 0 };
-          const reply = other.hub.answerFeed(whole, this.#now);
+          const fromStart = { feed: "", revision: 0 };
+          const reply = other.hub.answerFeed(fromStart, this.#now);
           const reporter = other.address;
           reader.hub.learnFeed(reply, this.#now, { reporter });
         }
@@ -253,13 +266,13 @@
 
   #exchange(): void {
     for (const entry of this.#entries.filter((each) => this.#isUp(each))) {
-      for (const [at, { address, hub }] of this.#running().entries()) {
-        // Entries don't ask all replicas at the same moment.
-        if ((this.#now + at * STEP) % EXCHANGE_PAUSE !== 0) {
+      for (const [index, { address, hub }] of this.#running().entries()) {
+        // Entries don't query all replicas at the same time.
+        if ((this.#now + index * STEP) % EXCHANGE_INTERVAL !== 0) {
           continue;
         }
-        const known = entry.feeds.get(address) ?? { feed: "", revision: 0 };
-        const reply = hub.answerFeed(known, this.#now);
+        const position = entry.feeds.get(address) ?? { feed: "", revision: 0 };
+        const reply = hub.answerFeed(position, this.#now);
         for (const record of reply.upstreams) {
           const age = reply.ages?.[record.id] ?? 0;
           const source = { reporter: address, age };
@@ -275,7 +288,7 @@
     }
   }
 
-  #use(): void {
+  #sendRequests(): void {
     for (const entry of this.#entries.filter((each) => this.#isUp(each))) {
       const chosen = new UpstreamChoice().choose(entry.directory.list(), {
         now: this.#now,
--- a/apps/heroncleatd/hub/start_hub.ts
+++ b/apps/heroncleatd/hub/start_hub.ts
@@ -13,10 +13,10 @@
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
 import type { DecodedDocument } from "../gateway/decoded_document.ts";
-import { CrashStore } from "./crash_store.ts";
+import { SuspectStore } from "./suspect_store.ts";
 import { DocumentCache } from "./document_cache.ts";
-import type { DutyCalls } from "./duty_calls.ts";
-import { DutyRunner } from "./duty_runner.ts";
+import type { LeaderTaskCalls } from "./leader_task_calls.ts";
+import { LeaderTaskRunner } from "./leader_task_runner.ts";
 import { FeedReader } from "./feed_reader.ts";
 import type { HubSettings } from "./hub_settings.ts";
 import { hubCalls } from "./hub_calls.ts";
@@ -26,19 +26,18 @@
 import { UpstreamUpdates } from "./upstream_updates.ts";
 import { UsageStore } from "./usage_store.ts";
 
-/** Characters of somebody else's text that a log line holds. */
-const MOST_LOGGED = 200;
+/** Limits text from other processes in log lines. */
+const MAX_LOGGED_CHARACTERS = 200;
 const EXPIRE_INTERVAL: Milliseconds = 1000;
-/** Pause before a replica whose disk failed is opened again. */
+/** Pause before a failed replica is reopened. */
 const REOPEN_PAUSE: Milliseconds = 1000;
 
-/** What the control side is started with. */
 type StartOptions = {
   readonly settings: () => HubSettings;
   readonly fleet: FleetSettings;
   readonly decodeDocument: (source: string) => DecodedDocument;
-  /** Absent where nothing is ordered or reported. */
-  readonly calls: DutyCalls | undefined;
+  /** Undefined if this system neither orders upstreams nor reports usage. */
+  readonly calls: LeaderTaskCalls | undefined;
   readonly pool: PeerPool;
   readonly serve: (methods: Readonly<Record<string, MethodHandler>>) => void;
   readonly clock: Clock;
@@ -46,23 +45,23 @@
   readonly metrics: Metrics;
 };
 
-/** Joins the control group and serves entries. */
+/** Starts a control replica, which joins the group and serves entries. */
 export async function startHub(options: StartOptions): Promise<RunningHub> {
   const hub = new Hub(createToken());
   const { clock } = options;
-  const store = new UsageStore({
+  const usageStore = new UsageStore({
     hub,
     folder: options.settings().dataFolder,
     log: options.log("operations"),
   });
-  await store.read();
-  const crashStore = new CrashStore({
-    book: hub.crashes,
+  await usageStore.read();
+  const suspectStore = new SuspectStore({
+    registry: hub.crashes,
     folder: options.settings().dataFolder,
     clock,
     log: options.log("crashes"),
   });
-  await crashStore.read();
+  await suspectStore.read();
   let group: ReplicaGroup | undefined;
   const exchangeLog = options.log("exchange");
   const sync = (request: SyncRequest): SyncReply => {
@@ -74,8 +73,8 @@
     });
     if (reply.needsWhole) {
       options.metrics.increment("exchange.divergences");
-      exchangeLog.info("Asks an entry for all its counters", {
-        entry: request.entry.name.slice(0, MOST_LOGGED),
+      exchangeLog.info("Requests all counters of an entry", {
+        entry: request.entry.name.slice(0, MAX_LOGGED_CHARACTERS),
       });
     }
     return reply;
@@ -92,7 +91,8 @@
     members: () => group?.addresses,
     toleratedLosses: () => options.settings().toleratedLosses,
     dataFolder: options.settings().dataFolder,
-    services: () => servicesOf(documents.decode(group?.application.document)),
+    services: () =>
+      serviceNamesOf(documents.decode(group?.application.document)),
   });
   await updates.restore();
   options.serve({
@@ -103,19 +103,19 @@
     [hubCalls.suspects]: () => hub.crashes.list(clock.steady()),
     [hubCalls.clearSuspect]: (parameters) => {
       const { request } = parameters as { request: string };
-      const isNews = hub.crashes.noteAnswer(request, clock.steady());
-      operations.info("An operator clears a request", {
+      const wasSuspected = hub.crashes.noteAnswer(request, clock.steady());
+      operations.info("An operator cleared a request", {
         request,
-        known: isNews ? "yes" : "no",
+        known: wasSuspected ? "yes" : "no",
       });
-      return isNews;
+      return wasSuspected;
     },
   });
-  const expiry = setInterval(() => {
+  const expiryTimer = setInterval(() => {
     hub.expire(clock.steady());
     updates.expire();
   }, EXPIRE_INTERVAL);
-  let stopParts = () => {};
+  let stopGroupServices = () => {};
   let isStopping = false;
   const log = options.log("group");
   const start = async (): Promise<void> => {
@@ -123,13 +123,13 @@
       return;
     }
     try {
-      const formed = await ReplicaGroup.start({ ...options, onFailure });
-      group = formed;
-      stopParts = run(formed, {
+      const started = await ReplicaGroup.start({ ...options, onFailure });
+      group = started;
+      stopGroupServices = startGroupServices(started, {
         ...options,
         hub,
-        store,
-        crashStore,
+        usageStore,
+        suspectStore,
         documents,
       }).stop;
     } catch (error) {
@@ -137,11 +137,11 @@
     }
   };
   const onFailure = (error: unknown) => {
-    log.error("The replica can't go on and will be opened again", {
+    log.error("The replica failed and will be reopened", {
       error: describeFailure(error),
     });
     group = undefined;
-    stopParts();
+    stopGroupServices();
     setTimeout(() => void start(), REOPEN_PAUSE);
   };
   void start();
@@ -182,19 +182,22 @@
         leader: "",
         members: [],
         promised: options.settings().promisedLosses,
-        unkept: ["This replica has no group yet. Remedy: ask another one."],
+        unkept: [
+          "This replica has no group yet. Remedy: query another replica.",
+        ],
       },
   });
   return {
     publish: ({ version }, source) => publish({ version, source }),
     readDocument,
-    noteUnreadable: (name, problem) => updates.noteUnreadable(name, problem),
+    recordUnreadable: (name, problem) =>
+      updates.recordUnreadable(name, problem),
     mergeUpstream: (record) => updates.merge(record),
     removeUpstream: (name, born) => updates.remove(name, born),
     stop: async () => {
-      clearInterval(expiry);
+      clearInterval(expiryTimer);
       isStopping = true;
-      stopParts();
+      stopGroupServices();
       await group?.stop();
     },
   };
@@ -205,21 +208,21 @@
   return message ?? String(error);
 }
 
-/** Starts what needs a group. */
-function run(
+/** Starts the services that need a group. */
+function startGroupServices(
   group: ReplicaGroup,
   options: StartOptions & {
     hub: Hub;
-    store: UsageStore;
-    crashStore: CrashStore;
+    usageStore: UsageStore;
+    suspectStore: SuspectStore;
     documents: DocumentCache;
   },
 ): { stop: () => void } {
-  const { hub, store, crashStore, clock, log, calls, pool, documents } =
+  const { hub, usageStore, suspectStore, clock, log, calls, pool, documents } =
     options;
-  // Only now the folder has its identity; nothing may be in it before.
-  store.start();
-  crashStore.start();
+  // The data folder must be empty until the replica has written its identity.
+  usageStore.start();
+  suspectStore.start();
   const reader = new FeedReader({
     hub,
     clock,
@@ -229,7 +232,7 @@
       group.addresses.filter((address) => address !== group.ownAddress),
   });
   const settings = options.settings();
-  const duties = calls === undefined ? undefined : new DutyRunner({
+  const leaderTasks = calls === undefined ? undefined : new LeaderTaskRunner({
     name: settings.name,
     hub,
     clock,
@@ -237,27 +240,27 @@
     calls,
     leadership: () => group.leadership,
     propose: (command) => group.propose(command),
-    settled: () => group.application.settled,
+    settledCounts: () => group.application.settledCounts,
     services: () =>
       documents.decode(group.application.document)?.services ?? [],
     fleet: options.fleet,
     isFirstStart: settings.isFirstStart,
     usageWindow: settings.usageWindow,
     usageDelay: settings.usageDelay,
-    dutyLease: settings.dutyLease,
+    leaderTaskLease: settings.leaderTaskLease,
   });
   return {
     stop: () => {
-      store.stop();
-      crashStore.stop();
+      usageStore.stop();
+      suspectStore.stop();
       reader.stop();
-      duties?.stop();
+      leaderTasks?.stop();
     },
   };
 }
 
-/** Names of the services of a configuration, if there is one. */
-function servicesOf(
+/** Names of the services in a configuration document, if there is one. */
+function serviceNamesOf(
   document: ServingDocument | undefined,
 ): ReadonlySet<string> | undefined {
   return document && new Set(document.services.map(({ name }) => name));
--- a/apps/heroncleatd/hub/start_hub_proxy.ts
+++ b/apps/heroncleatd/hub/start_hub_proxy.ts
@@ -4,8 +4,8 @@
 import type { MethodHandler, PeerPool } from "@heroncleat/transport";
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
-import { FoundingRegister } from "./founding_register.ts";
-import { foundingCalls } from "./founding_calls.ts";
+import { BootstrapRegistry } from "./bootstrap_registry.ts";
+import { bootstrapCalls } from "./bootstrap_calls.ts";
 import { hubCalls } from "./hub_calls.ts";
 import type { HubProxySettings } from "./hub_proxy_settings.ts";
 import { MemberFinder } from "./member_finder.ts";
@@ -15,10 +15,9 @@
 import type { StoredDocument } from "./serving_application.ts";
 import type { UpdateOutcome } from "./update_outcome.ts";
 
-/** Characters of somebody else's text that a log line holds. */
-const MOST_LOGGED = 200;
+/** Limits text from other processes in log lines. */
+const MAX_LOGGED_CHARACTERS = 200;
 
-/** What the proxy is started with. */
 type StartOptions = {
   readonly settings: () => HubProxySettings;
   readonly pool: PeerPool;
@@ -30,106 +29,110 @@
 
 /**
  * Starts the control role on a VM without a disk. It holds no replica: it
- * passes calls of operators and upstreams on to one, tells entries where the
- * replicas are, and as a seed helps them to found their group.
+ * forwards calls of operators and upstreams to one, sends the addresses of the
+ * replicas to entries, and as a seed takes part in the group bootstrap.
  */
 export function startHubProxy(options: StartOptions): RunningHub {
   const { pool, clock, log, metrics, serve } = options;
   const { peerAddress, zone } = options.settings();
-  const register = new FoundingRegister(clock.steady());
-  const replicas = () => register.members;
+  const registry = new BootstrapRegistry(clock.steady());
+  const replicas = () => registry.members;
   const calls = new ReplicaCalls({ pool, clock, zone, replicas });
   const groupLog = log("group");
   const finder = new MemberFinder({
-    register,
+    registry,
     pool,
     seeds: () => options.settings().seeds,
     ownAddress: peerAddress,
     log: groupLog,
   });
-  const passOn = async <Reply>(
+  const forward = async <Reply>(
     method: string,
     parameters: unknown,
-    isTaken?: (reply: Reply) => boolean,
+    isFinal?: (reply: Reply) => boolean,
   ) => {
     metrics.increment("hub_proxy.calls");
-    const answered = await calls.call<Reply>(method, parameters, isTaken);
-    if (answered === undefined) {
+    const response = await calls.call<Reply>(method, parameters, isFinal);
+    if (response === undefined) {
       metrics.increment("hub_proxy.unanswered");
-      groupLog.warn("No replica takes a call", {
+      groupLog.warn("No replica handled a call", {
         method,
-        known: register.members.length,
+        known: registry.members.length,
       });
     }
-    return answered;
+    return response;
   };
-  const ask = async (method: string, parameters: unknown) => {
-    const answered = await passOn(method, parameters);
-    if (answered === undefined) {
-      throw new Error("No replica answers. Remedy: ask again, or another one.");
+  const forwardOrThrow = async (method: string, parameters: unknown) => {
+    const response = await forward(method, parameters);
+    if (response === undefined) {
+      throw new Error(
+        "No replica responded. Remedy: retry, or use another control process.",
+      );
     }
-    return answered.reply;
+    return response.reply;
   };
-  const update = async (
+  const forwardUpdate = async (
     method: string,
     parameters: unknown,
   ): Promise<UpdateOutcome> => {
-    const answered = await passOn<UpdateOutcome>(
+    const response = await forward<UpdateOutcome>(
       method,
       parameters,
       ({ kind }) => kind !== "unavailable",
     );
-    if (answered?.reply.kind === "accepted") {
-      return { kind: "accepted", heldBy: answered.from };
+    if (response?.reply.kind === "accepted") {
+      return { kind: "accepted", heldBy: response.from };
     }
-    return answered?.reply ?? {
+    return response?.reply ?? {
       kind: "unavailable",
-      problem: "No control replica answers. Remedy: send it to another one.",
+      problem: "No control replica responded. Remedy: send it to another one.",
     };
   };
   serve({
-    ...foundingCalls.methods(register, clock),
+    ...bootstrapCalls.methods(registry, clock),
     "control.join": (): JoinReply => ({
-      formed: register.founders.length > 0,
-      members: [...register.members],
-      founders: [...register.founders],
+      formed: registry.initialMembers.length > 0,
+      members: [...registry.members],
+      founders: [...registry.initialMembers],
     }),
     "hub.sync": (): ReplicaList => ({
-      replicas: register.members.map(({ address }) => address),
+      replicas: registry.members.map(({ address }) => address),
     }),
-    [hubCalls.suspects]: (parameters) => ask(hubCalls.suspects, parameters),
+    [hubCalls.suspects]: (parameters) =>
+      forwardOrThrow(hubCalls.suspects, parameters),
     [hubCalls.clearSuspect]: (parameters) =>
-      ask(hubCalls.clearSuspect, parameters),
-    [hubCalls.status]: (parameters) => ask(hubCalls.status, parameters),
+      forwardOrThrow(hubCalls.clearSuspect, parameters),
+    [hubCalls.status]: (parameters) =>
+      forwardOrThrow(hubCalls.status, parameters),
   });
   finder.start();
   return {
     publish: async ({ version }, source) => {
-      const answered = await passOn<PublishOutcome>(
+      const response = await forward<PublishOutcome>(
         hubCalls.publish,
         { version, source },
         (outcome) => outcome === "accepted",
       );
-      return answered?.reply ?? "unavailable";
+      return response?.reply ?? "unavailable";
     },
     readDocument: async () => {
-      const answered = await passOn<StoredDocument | "none" | "unavailable">(
+      const response = await forward<StoredDocument | "none" | "unavailable">(
         hubCalls.readDocument,
         {},
         (stored) => stored !== "unavailable",
       );
-      return answered?.reply ?? "unavailable";
+      return response?.reply ?? "unavailable";
     },
     mergeUpstream: (record: UpstreamRecord) =>
-      update(hubCalls.mergeUpstream, { record }),
+      forwardUpdate(hubCalls.mergeUpstream, { record }),
     removeUpstream: (name, born) =>
-      update(hubCalls.removeUpstream, { name, born }),
-    noteUnreadable: (name, problem) => {
+      forwardUpdate(hubCalls.removeUpstream, { name, born }),
+    recordUnreadable: (name, problem) => {
       metrics.increment("upstream_updates.refused.unreadable");
       log("operations").warn("Refused updates of an upstream", {
-        upstream: name.slice(0, MOST_LOGGED),
+        upstream: name.slice(0, MAX_LOGGED_CHARACTERS),
         reason: "unreadable",
-        problem: problem.slice(0, MOST_LOGGED),
+        problem: problem.slice(0, MAX_LOGGED_CHARACTERS),
       });
     },
     stop: () => {
--- a/apps/heroncleatd/hub/crash_store.ts
+++ b/apps/heroncleatd/hub/suspect_store.ts
@@ -7,32 +7,33 @@
 
 const FILE_NAME = "suspects.json";
 const VERSION = 1;
-/** Pause between two looks whether something is to be written. */
-const INTERVAL: Milliseconds = 100;
-/** Ends from which on a request is kept; one alone is likely chance. */
-const KEPT_FROM = 2;
+const WRITE_INTERVAL: Milliseconds = 100;
+/**
+ * A single crash during a request is most likely a coincidence and isn't
+ * stored.
+ */
+const MIN_STORED_CRASHES = 2;
 
-/** What the store is built from. */
 type StoreOptions = {
-  readonly book: CrashBook;
+  readonly registry: CrashBook;
   readonly folder: string;
   readonly clock: Clock;
   readonly log: Log;
 };
 
-/** What is on disk. */
+/** Content of the file. */
 type StoredSuspects = {
   readonly version: number;
-  /** Wall clock since 1970 at which the ages held. */
+  /** Wall clock, in ms since 1970, at which the ages were computed. */
   readonly wall: Milliseconds;
   readonly suspects: readonly ReportedSuspect[];
 };
 
 /**
- * Keeps on disk which requests upstreams ended under. Where all processes lose
- * their memory at once, such a request would end as many upstreams again.
+ * Persists the requests that upstreams crashed on, so that they are still
+ * suspected after all processes restart at once.
  */
-export class CrashStore {
+export class SuspectStore {
   readonly #options: StoreOptions;
   #timer: NodeJS.Timeout | undefined;
   #writtenRevision = 0;
@@ -43,9 +44,9 @@
     this.#options = options;
   }
 
-  /** Takes in what was kept. */
+  /** Merges the stored suspects into the registry. */
   async read(): Promise<void> {
-    const { book, folder, clock, log } = this.#options;
+    const { registry, folder, clock, log } = this.#options;
     let text: string;
     try {
       text = await readFile(join(folder, FILE_NAME), "utf8");
@@ -60,10 +61,12 @@
       if (stored.version !== VERSION) {
         return;
       }
-      const since = Math.max(0, clock.wall() - stored.wall);
-      const aged = stored.suspects.map((suspect) => olderBy(suspect, since));
-      book.learn(aged, clock.steady());
-      log.info("Knows requests under which upstreams ended", {
+      const elapsed = Math.max(0, clock.wall() - stored.wall);
+      const aged = stored.suspects.map((suspect) =>
+        addToAges(suspect, elapsed)
+      );
+      registry.learn(aged, clock.steady());
+      log.info("Restored suspected requests", {
         count: aged.length,
       });
     } catch (error) {
@@ -71,9 +74,11 @@
     }
   }
 
-  /** Begins to write. */
   start(): void {
-    this.#timer = setInterval(() => void this.#writeChanges(), INTERVAL);
+    this.#timer = setInterval(
+      () => void this.#writeIfChanged(),
+      WRITE_INTERVAL,
+    );
     this.#timer.unref();
   }
 
@@ -83,20 +88,20 @@
 
   #warnUnreadable(error: unknown): void {
     this.#options.log.warn(
-      "Kept requests under which upstreams ended can't be read; none is known",
+      "Can't read the stored suspected requests; starting with none",
       { error: String(error) },
     );
   }
 
-  async #writeChanges(): Promise<void> {
-    const { book, folder, clock, log } = this.#options;
-    const revision = book.changedAt;
+  async #writeIfChanged(): Promise<void> {
+    const { registry, folder, clock, log } = this.#options;
+    const revision = registry.changedAt;
     if (this.#isWriting || revision <= this.#writtenRevision) {
       return;
     }
     this.#isWriting = true;
-    const suspects = book.changesSince(0, clock.steady())
-      .filter(({ crashes }) => crashes.length >= KEPT_FROM);
+    const suspects = registry.changesSince(0, clock.steady())
+      .filter(({ crashes }) => crashes.length >= MIN_STORED_CRASHES);
     const stored: StoredSuspects = {
       version: VERSION,
       wall: clock.wall(),
@@ -108,9 +113,9 @@
       this.#writtenRevision = revision;
       this.#hasFailed = false;
     } catch (error) {
-      // It is tried again at the next look; one line tells of them all.
+      // The next interval retries; only the first failure in a row is logged.
       if (!this.#hasFailed) {
-        log.warn("Requests under which upstreams ended can't be kept", {
+        log.warn("Can't store the suspected requests", {
           error: String(error),
         });
       }
@@ -120,18 +125,18 @@
   }
 }
 
-function olderBy(
+function addToAges(
   suspect: ReportedSuspect,
-  by: Milliseconds,
+  elapsed: Milliseconds,
 ): ReportedSuspect {
   const { answeredAge, crashes } = suspect;
   return {
     ...suspect,
     crashes: crashes.map(({ upstream, sentAge, endedAge }) => ({
       upstream,
-      sentAge: sentAge + by,
-      endedAge: endedAge + by,
+      sentAge: sentAge + elapsed,
+      endedAge: endedAge + elapsed,
     })),
-    answeredAge: answeredAge === undefined ? undefined : answeredAge + by,
+    answeredAge: answeredAge === undefined ? undefined : answeredAge + elapsed,
   };
 }
--- a/apps/heroncleatd/hub/test_document.ts
+++ b/apps/heroncleatd/hub/test_document.ts
@@ -1,7 +1,7 @@
 import { RouteKind, type ServingDocument } from "@heroncleat/serving";
 
-/** A document that routes everything to the service `desk`. */
-export function documentOf(version: number): ServingDocument {
+/** A configuration document that routes every request to the service `desk`. */
+export function testDocument(version: number): ServingDocument {
   return {
     version,
     routes: [{
--- a/apps/heroncleatd/hub/test_group.ts
+++ b/apps/heroncleatd/hub/test_group.ts
@@ -8,12 +8,12 @@
 import { TestHub } from "./test_hub.ts";
 import { testSeeds } from "./test_seeds.ts";
 
-const quiet = { debug() {}, info() {}, warn() {}, error() {} };
-const metrics = { increment() {}, gauge() {}, timing() {}, close() {} };
+const silentLog = { debug() {}, info() {}, warn() {}, error() {} };
+const noMetrics = { increment() {}, gauge() {}, timing() {}, close() {} };
 
 /**
- * Control replicas, four where not said, and some entries in one process, with
- * real sockets, for tests of what passes between them.
+ * A control group and entries in one process that communicate over real
+ * sockets.
  */
 export class TestGroup {
   readonly hubs: readonly TestHub[];
@@ -22,14 +22,14 @@
   readonly #firstPort: number;
 
   /**
-   * @param firstPort First of 22 ports that only this test uses.
-   * @param disks Whether each process of the control role has a disk; the first
-   *     three are the seeds.
+   * @param firstPort First of 22 consecutive ports reserved for the test.
+   * @param disks Whether each control process has a disk; the first three
+   *     processes are the seeds.
    */
   constructor(firstPort: number, disks = [true, true, true, true]) {
     this.#firstPort = firstPort;
-    this.hubs = disks.map((hasDisk, at) =>
-      new TestHub(at, firstPort, { hasDisk })
+    this.hubs = disks.map((hasDisk, index) =>
+      new TestHub(index, firstPort, { hasDisk })
     );
   }
 
@@ -37,8 +37,8 @@
     await Promise.all(
       this.hubs.map((hub) => hub.start({ isFirstStart: true })),
     );
-    for (let at = 0; at < options.entries; at += 1) {
-      await this.startEntry(at);
+    for (let index = 0; index < options.entries; index += 1) {
+      await this.startEntry(index);
     }
   }
 
@@ -55,8 +55,8 @@
     }
   }
 
-  /** Entries are distinguished by host; all use the same ports. */
-  async startEntry(at: number): Promise<RunningGateway> {
+  /** Each entry has a host of its own; all use the same ports. */
+  async startEntry(index: number): Promise<RunningGateway> {
     const pool = new PeerPool({
       secret: "s",
       connectTimeout: 500,
@@ -65,11 +65,11 @@
     this.#pools.push(pool);
     const gateway = await startGateway({
       settings: () => ({
-        name: `entry-${at}`,
-        zone: `zone-${at}`,
+        name: `entry-${index}`,
+        zone: `zone-${index}`,
         region: "r",
-        address: `${hostOf(at)}:${this.#firstPort + 20}`,
-        noticeAddress: `${hostOf(at)}:${this.#firstPort + 21}`,
+        address: `${hostOf(index)}:${this.#firstPort + 20}`,
+        noticeAddress: `${hostOf(index)}:${this.#firstPort + 21}`,
         seeds: testSeeds(this.#firstPort),
         quota: { isFresh: true, window: 1000, overshoot: 0, tolerance: 0 },
         retryRatio: 0.2,
@@ -83,24 +83,27 @@
       decodeDocument: decodeTestDocument,
       pool,
       clock: createSystemClock(),
-      log: () => quiet,
-      metrics,
+      log: () => silentLog,
+      metrics: noMetrics,
     });
     this.gateways.push(gateway);
     return gateway;
   }
 
-  /** Asks one entry for a table. */
-  ask(
-    at: number,
-    sent = "",
+  /**
+   * Sends a request to one entry: a POST with the given body, or a GET if it is
+   * empty.
+   */
+  sendRequest(
+    index: number,
+    requestBody = "",
   ): Promise<{ status: number; body: string }> {
     return new Promise((resolve, reject) => {
-      const outgoing = request({
-        host: hostOf(at),
+      const clientRequest = request({
+        host: hostOf(index),
         port: this.#firstPort + 20,
         agent: false,
-        method: sent === "" ? "GET" : "POST",
+        method: requestBody === "" ? "GET" : "POST",
         headers: { host: "inn.example", "x-attempt": `a${Math.random()}` },
       }, (response) => {
         let body = "";
@@ -110,14 +113,14 @@
           () => resolve({ status: response.statusCode!, body }),
         );
       });
-      outgoing.on("error", reject);
-      outgoing.end(sent);
+      clientRequest.on("error", reject);
+      clientRequest.end(requestBody);
     });
   }
 
-  /** Puts a document in force by way of one replica. */
-  async publish(at: number, document: ServingDocument): Promise<boolean> {
-    const outcome = await this.hubs[at]!.hub.publish(
+  /** Publishes a configuration document through one control process. */
+  async publish(index: number, document: ServingDocument): Promise<boolean> {
+    const outcome = await this.hubs[index]!.hub.publish(
       document,
       JSON.stringify(document),
     );
@@ -125,6 +128,6 @@
   }
 }
 
-function hostOf(at: number): string {
-  return `127.0.0.${1 + at}`;
+function hostOf(index: number): string {
+  return `127.0.0.${1 + index}`;
 }
--- a/apps/heroncleatd/hub/test_hub.ts
+++ b/apps/heroncleatd/hub/test_hub.ts
@@ -4,31 +4,31 @@
 import { createSystemClock } from "@heroncleat/base";
 import { PeerPool, PeerServer } from "@heroncleat/transport";
 import { decodeTestDocument } from "./decode_test_document.ts";
-import type { DutyCalls, DutyHolder } from "./duty_calls.ts";
+import type { LeaderTaskCalls, LeaderTaskHolder } from "./leader_task_calls.ts";
 import type { RunningHub } from "./running_hub.ts";
 import { startHub } from "./start_hub.ts";
 import { startHubProxy } from "./start_hub_proxy.ts";
 import { testSeeds } from "./test_seeds.ts";
 
-const quiet = { debug() {}, info() {}, warn() {}, error() {} };
-const metrics = { increment() {}, gauge() {}, timing() {}, close() {} };
+const silentLog = { debug() {}, info() {}, warn() {}, error() {} };
+const noMetrics = { increment() {}, gauge() {}, timing() {}, close() {} };
 
-/** A usage report that the test's platform took. */
-type TakenReport = {
-  readonly holder: DutyHolder;
+/** A usage report that the simulated platform accepted. */
+type AcceptedReport = {
+  readonly holder: LeaderTaskHolder;
   readonly window: number;
   readonly counts: object;
 };
 
 /**
- * One process of the control role of a test, which can be stopped, lost and
- * wiped; without a disk it holds no replica.
+ * One control process of a test, which can be stopped, crashed and wiped.
+ * Without a disk it holds no replica.
  */
 export class TestHub {
-  readonly #at: number;
+  readonly #index: number;
   readonly #firstPort: number;
   readonly #folder = mkdtempSync(join(tmpdir(), "heroncleat-hub-"));
-  readonly reports: TakenReport[] = [];
+  readonly reports: AcceptedReport[] = [];
   #pool: PeerPool | undefined;
   #server: PeerServer | undefined;
   #hub: RunningHub | undefined;
@@ -36,11 +36,11 @@
   readonly #hasDisk: boolean;
 
   constructor(
-    at: number,
+    index: number,
     firstPort: number,
     { hasDisk = true }: { hasDisk?: boolean } = {},
   ) {
-    this.#at = at;
+    this.#index = index;
     this.#firstPort = firstPort;
     this.#hasDisk = hasDisk;
   }
@@ -50,7 +50,7 @@
   }
 
   async start(options: { isFirstStart: boolean }): Promise<void> {
-    const address = `127.0.0.1:${this.#firstPort + this.#at}`;
+    const address = `127.0.0.1:${this.#firstPort + this.#index}`;
     this.#pool = new PeerPool({
       secret: "s",
       connectTimeout: 500,
@@ -71,15 +71,15 @@
   #startProxy(server: PeerServer, address: string): RunningHub {
     return startHubProxy({
       settings: () => ({
-        zone: `zone-${this.#at}`,
+        zone: `zone-${this.#index}`,
         peerAddress: address,
         seeds: testSeeds(this.#firstPort),
       }),
       pool: this.#pool!,
       serve: (methods) => server.serve(methods),
       clock: createSystemClock(),
-      log: () => quiet,
-      metrics,
+      log: () => silentLog,
+      metrics: noMetrics,
     });
   }
 
@@ -89,8 +89,8 @@
   ): Promise<RunningHub> {
     return await startHub({
       settings: () => ({
-        name: `hub-${this.#at}`,
-        zone: `zone-${this.#at}`,
+        name: `hub-${this.#index}`,
+        zone: `zone-${this.#index}`,
         peerAddress: address,
         seeds: testSeeds(this.#firstPort),
         promisedLosses: { machines: 1, zones: 0, regions: 0 },
@@ -102,7 +102,7 @@
         clockDrift: 0.05,
         usageWindow: 1000,
         usageDelay: 2000,
-        dutyLease: 1000,
+        leaderTaskLease: 1000,
       }),
       fleet: {
         initialShare: 0.3,
@@ -114,8 +114,8 @@
       pool: this.#pool!,
       serve: (methods) => server.serve(methods),
       clock: createSystemClock(),
-      log: () => quiet,
-      metrics,
+      log: () => silentLog,
+      metrics: noMetrics,
     });
   }
 
@@ -125,12 +125,15 @@
     this.#hub = undefined;
   }
 
-  /** Is there for nobody from now on, as after a loss of power. */
-  async lose(): Promise<void> {
-    const lost = this.#hub;
+  /**
+   * Drops all connections before stopping, so that no peer sees a shutdown, as
+   * after a power loss.
+   */
+  async crash(): Promise<void> {
+    const hub = this.#hub;
     this.#hub = undefined;
     await this.#disconnect();
-    await lost?.stop();
+    await hub?.stop();
   }
 
   wipe(): void {
@@ -142,7 +145,7 @@
     await this.#server?.close();
   }
 
-  #calls(): DutyCalls {
+  #calls(): LeaderTaskCalls {
     return {
       reportUsage: (holder, report) => {
         this.reports.push({ holder, ...report });
--- a/apps/heroncleatd/hub/test_record.ts
+++ b/apps/heroncleatd/hub/test_record.ts
@@ -1,6 +1,6 @@
 import type { UpstreamRecord } from "@heroncleat/serving";
 
-/** What an upstream of `desk` says of itself. */
+/** Record of an upstream of the service `desk`. */
 export function testRecord(
   name: string,
   options: { address: string; sequence: number },
--- a/apps/heroncleatd/hub/test_seeds.ts
+++ b/apps/heroncleatd/hub/test_seeds.ts
@@ -1,9 +1,9 @@
-const FOUNDERS = 3;
+const SEED_COUNT = 3;
 
-/** Peer addresses of the replicas that found the group of a test. */
+/** Peer addresses of the seeds of a test group. */
 export function testSeeds(firstPort: number): string[] {
   return Array.from(
-    { length: FOUNDERS },
-    (_, at) => `127.0.0.1:${firstPort + at}`,
+    { length: SEED_COUNT },
+    (_, index) => `127.0.0.1:${firstPort + index}`,
   );
 }
--- a/apps/heroncleatd/hub/update_outcome.ts
+++ b/apps/heroncleatd/hub/update_outcome.ts
@@ -1,14 +1,16 @@
 /**
- * What became of what an upstream says of itself. Only what is `accepted` may
- * be acknowledged: it stands, whatever is lost next.
+ * Result of an update that an upstream sends about itself. Only an `accepted`
+ * update may be acknowledged: it survives the tolerated losses.
  */
 export type UpdateOutcome =
   | {
     readonly kind: "accepted";
-    /** host:port of the replica that took it, where that is another process. */
+    /**
+     * host:port of the replica that accepted it, if that is another process.
+     */
     readonly heldBy?: string;
   }
-  /** It can't be right; the same again will be refused again. */
+  /** The update is invalid; resending it unchanged won't help. */
   | { readonly kind: "refused"; readonly problem: string }
-  /** It can't be promised here and now; another replica may. */
+  /** This replica can't make the update durable now; another one may. */
   | { readonly kind: "unavailable"; readonly problem: string };
