--- a/apps/heroncleatd/hub/upstream_updates.ts
+++ b/apps/heroncleatd/hub/upstream_updates.ts
@@ -7,16 +7,15 @@
 import type { MethodHandler, PeerPool } from "@heroncleat/transport";
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
-import { LeaveReplicator } from "./leave_replicator.ts";
-import { LeaveStore } from "./leave_store.ts";
+import { DepartureReplicator } from "./departure_replicator.ts";
+import { DepartureStore } from "./departure_store.ts";
 import type { UpdateOutcome } from "./update_outcome.ts";
 
-/** Characters of somebody else's text that a log line holds. */
-const MOST_LOGGED = 200;
-/** By which members replicate that an upstream leaves. */
-const LEAVE_METHOD = "hub.leave";
+/** Limits text from other processes in log lines. */
+const MAX_LOGGED_CHARACTERS = 200;
+/** RPC method by which members replicate a departure. */
+const DEPARTURE_METHOD = "hub.leave";
 
-/** What the updates are taken in with. */
 type UpdateOptions = {
   readonly hub: Hub;
   readonly clock: Clock;
@@ -29,60 +28,66 @@
   readonly toleratedLosses: () => number;
   /** Folder on this replica's disk. */
   readonly dataFolder: string;
-  /** Names of the services of the configuration, if there is one. */
+  /** Names of the services in the configuration document, if there is one. */
   readonly services: () => ReadonlySet<string> | undefined;
 };
 
-/** A leave as a member passes it on. */
-type LeaveMessage = { readonly record: UpstreamRecord; readonly from: string };
+/** A departure as one member sends it to another. */
+type DepartureMessage = {
+  readonly record: UpstreamRecord;
+  readonly from: string;
+};
 
 /**
- * Takes in what upstreams say of themselves. A heartbeat stands when it is in
- * memory, as the next one follows; that an upstream leaves may be said once, so
- * it is acknowledged when it would outlive this replica.
+ * Processes the updates that upstreams send about themselves. Heartbeats are
+ * acknowledged once they are in memory, because another one follows. A
+ * departure may be sent only once, so it is acknowledged only after it would
+ * survive the loss of this replica.
  */
 export class UpstreamUpdates {
   readonly #options: UpdateOptions;
-  readonly #store: LeaveStore;
-  readonly #replicator: LeaveReplicator;
+  readonly #store: DepartureStore;
+  readonly #replicator: DepartureReplicator;
 
   constructor(options: UpdateOptions) {
     this.#options = options;
     const { hub, ownAddress, pool, members, toleratedLosses } = options;
-    this.#store = new LeaveStore({
+    this.#store = new DepartureStore({
       folder: options.dataFolder,
       log: options.log,
-      isForgotten: (id) => hub.directory.get(id) === undefined,
+      isExpired: (id) => hub.directory.get(id) === undefined,
     });
-    this.#replicator = new LeaveReplicator({
+    this.#replicator = new DepartureReplicator({
       members,
       ownAddress,
       toleratedLosses,
-      keep: (record) => this.#store.keep(record),
+      persist: (record) => this.#store.persist(record),
       send: async (member, record, timeout) => {
-        const parameters: LeaveMessage = { record, from: ownAddress };
-        await pool.call(member, LEAVE_METHOD, { parameters, timeout });
+        const parameters: DepartureMessage = { record, from: ownAddress };
+        await pool.call(member, DEPARTURE_METHOD, { parameters, timeout });
       },
     });
   }
 
-  /** What other members call. */
+  /** RPC methods for other members. */
   methods(): Readonly<Record<string, MethodHandler>> {
     return {
-      [LEAVE_METHOD]: async (parameters) => {
-        const { record, from } = parameters as LeaveMessage;
-        this.#learnLeave(record, from);
+      [DEPARTURE_METHOD]: async (parameters) => {
+        const { record, from } = parameters as DepartureMessage;
+        this.#mergeDeparture(record, from);
         if (this.#options.members() === undefined) {
-          // Its disk isn't a member's yet, and nothing may be on it before.
-          throw new Error("This replica has no group. Remedy: ask another.");
+          // Before the replica has joined, its data folder must stay empty.
+          throw new Error(
+            "This replica has no group. Remedy: use another one.",
+          );
         }
-        await this.#store.keep(record);
+        await this.#store.persist(record);
         return true;
       },
     };
   }
 
-  /** Takes in which upstreams left before this process started. */
+  /** Restores the departures that were stored before this process started. */
   async restore(): Promise<void> {
     const { hub, clock } = this.#options;
     for (const record of await this.#store.read()) {
@@ -90,7 +95,7 @@
     }
   }
 
-  /** Takes a heartbeat in. */
+  /** Merges a heartbeat. */
   async merge(record: UpstreamRecord): Promise<UpdateOutcome> {
     const { hub, clock, log, services } = this.#options;
     const problem = findRecordProblem(record, {
@@ -116,77 +121,82 @@
     }
     return record.state === "ready"
       ? { kind: "accepted" }
-      : await this.#promise(record);
+      : await this.#acknowledgeDeparture(record);
   }
 
   /**
-   * Takes in that an upstream is gone.
+   * Records that an upstream is gone.
    *
-   * @param born When the start that leaves began, if it said so.
+   * @param born When the departing instance started, if it reported that.
    */
   async remove(name: string, born?: Milliseconds): Promise<UpdateOutcome> {
     const { hub, clock, log } = this.#options;
     const id = hub.removeUpstream(name, clock.steady(), born);
     const record = hub.directory.get(id ?? name)?.record;
     if (id === undefined || record === undefined) {
-      log.warn("Can't tell which start of an upstream is gone", {
-        upstream: name.slice(0, MOST_LOGGED),
+      log.warn("Can't tell which instance of an upstream is gone", {
+        upstream: name.slice(0, MAX_LOGGED_CHARACTERS),
       });
       return {
         kind: "unavailable",
-        problem: `${name.slice(0, 80)} has just started again, and this may ` +
-          "be late word of the start before. Remedy: say when the start that " +
-          "leaves was born, or send it again.",
+        problem:
+          `${name.slice(0, 80)} has recently restarted, and this report may ` +
+          "be about its previous instance. Remedy: send the start time of the " +
+          "departing instance, or send the report again.",
       };
     }
     log.info("An upstream is gone", { upstream: id });
-    return await this.#promise(record);
+    return await this.#acknowledgeDeparture(record);
   }
 
-  /** Counts and logs updates under a name that can't be read. */
-  noteUnreadable(name: string, problem: string): void {
+  /** Counts and logs a malformed update of an upstream. */
+  recordUnreadable(name: string, problem: string): void {
     this.#refuse("unreadable", name, problem);
   }
 
-  /** Forgets leaves of upstreams that can't matter any more. */
+  /** Drops the replication state of expired upstreams. */
   expire(): void {
     const { hub } = this.#options;
-    this.#replicator.forget((id) => hub.directory.get(id) === undefined);
+    this.#replicator.expire((id) => hub.directory.get(id) === undefined);
   }
 
-  async #promise(record: UpstreamRecord): Promise<UpdateOutcome> {
+  async #acknowledgeDeparture(record: UpstreamRecord): Promise<UpdateOutcome> {
     const { log, metrics } = this.#options;
-    const { knownBy, isSafe, isNews } = await this.#replicator.replicate(
-      record,
-    );
+    const { storedBy, isDurable, isNewlyDurable } = await this.#replicator
+      .replicate(
+        record,
+      );
     const context = {
       upstream: record.id,
       state: record.state,
-      knownBy: knownBy.join(" "),
+      knownBy: storedBy.join(" "),
     };
-    if (isSafe) {
-      // One that drains says so again and again.
-      log[isNews ? "info" : "debug"](
-        "Acknowledges that an upstream leaves",
+    if (isDurable) {
+      // A draining upstream repeats its report.
+      log[isNewlyDurable ? "info" : "debug"](
+        "Acknowledges the departure of an upstream",
         context,
       );
       return { kind: "accepted" };
     }
     metrics.increment("upstream_leaves.unavailable");
-    log.warn("Too few replicas know that an upstream leaves", context);
+    log.warn(
+      "Too few replicas have stored the departure of an upstream",
+      context,
+    );
     return {
       kind: "unavailable",
-      problem: "Too few control replicas confirm that it leaves. " +
+      problem: "Too few control replicas confirmed the departure. " +
         "Remedy: send it to another one.",
     };
   }
 
-  #learnLeave(record: UpstreamRecord, from: string): void {
+  #mergeDeparture(record: UpstreamRecord, from: string): void {
     const { hub, clock, log } = this.#options;
     const source = { reporter: from, age: 0 };
     const outcome = hub.mergeUpstream(record, clock.steady(), source);
     if (outcome === "changed") {
-      log.info(`Learns that an upstream is ${record.state}`, {
+      log.info(`Received a report that an upstream is ${record.state}`, {
         upstream: record.id,
         by: from,
       });
@@ -197,9 +207,9 @@
     const { log, metrics } = this.#options;
     metrics.increment(`upstream_updates.refused.${kind}`);
     log.warn("Refused updates of an upstream", {
-      upstream: name.slice(0, MOST_LOGGED),
+      upstream: name.slice(0, MAX_LOGGED_CHARACTERS),
       reason: kind,
-      problem: problem.slice(0, MOST_LOGGED),
+      problem: problem.slice(0, MAX_LOGGED_CHARACTERS),
     });
   }
 }
--- a/apps/heroncleatd/hub/usage_store.ts
+++ b/apps/heroncleatd/hub/usage_store.ts
@@ -7,14 +7,15 @@
 
 const FILE_NAME = "usage.json";
 const VERSION = 1;
-/** Pause between two writes; a write takes 2 syncs, 4 ms in all. */
-const INTERVAL: Milliseconds = 100;
-/** Part of the time that writes may take, so that the log gets its syncs. */
-const DISK_SHARE = 0.2;
-/** Part of the time that writing the counts out as text may take. */
-const WORK_SHARE = 0.02;
+const MIN_WRITE_INTERVAL: Milliseconds = 100;
+/**
+ * Maximum share of time spent on writes, so that the journal's syncs aren't
+ * delayed.
+ */
+const MAX_DISK_SHARE = 0.2;
+/** Maximum share of time spent on serializing the counts. */
+const MAX_SERIALIZATION_SHARE = 0.02;
 
-/** What the store is built from. */
 type StoreOptions = {
   readonly hub: Hub;
   readonly folder: string;
@@ -22,15 +23,14 @@
 };
 
 /**
- * Keeps the counts of the newest usage windows on disk. Entries hold them in
- * memory only, and where all processes are lost at once, so are the counts of
- * windows that nobody has settled: 144 of 900 requests of such a window weren't
- * reported without it.
+ * Persists the counts of recent usage windows. Entries keep them only in
+ * memory, so without the file the counts of unsettled windows would be lost if
+ * all processes restarted at once.
  */
 export class UsageStore {
   readonly #options: StoreOptions;
   #timer: NodeJS.Timeout | undefined;
-  #written = "";
+  #writtenText = "";
   #hasFailed = false;
   #isStopped = true;
 
@@ -38,10 +38,9 @@
     this.#options = options;
   }
 
-  /** Begins to write. */
   start(): void {
     this.#isStopped = false;
-    this.#schedule(INTERVAL);
+    this.#schedule(MIN_WRITE_INTERVAL);
   }
 
   stop(): void {
@@ -49,7 +48,7 @@
     clearTimeout(this.#timer);
   }
 
-  /** Takes in what was kept. */
+  /** Merges the stored counts into the hub. */
   async read(): Promise<void> {
     const { folder, hub, log } = this.#options;
     try {
@@ -60,7 +59,7 @@
       }
     } catch (error) {
       if ((error as NodeJS.ErrnoException).code !== "ENOENT") {
-        log.warn("Kept usage counts can't be read; they start anew", {
+        log.warn("Can't read the stored usage counts; starting with none", {
           error: String(error),
         });
       }
@@ -68,7 +67,7 @@
   }
 
   #schedule(pause: Milliseconds): void {
-    // A write that was under way at a stop may end after the next start.
+    // A write that was in flight at a stop may finish after the next start.
     clearTimeout(this.#timer);
     if (!this.#isStopped) {
       this.#timer = setTimeout(() => void this.#write(), pause);
@@ -78,25 +77,29 @@
 
   async #write(): Promise<void> {
     const { folder, hub, log } = this.#options;
-    const beganAt = performance.now();
+    const serializationStartedAt = performance.now();
     const text = JSON.stringify({ version: VERSION, usage: hub.recentUsage() });
-    const startedAt = performance.now();
-    const worked = startedAt - beganAt;
-    if (text !== this.#written) {
+    const writeStartedAt = performance.now();
+    const serializationTime = writeStartedAt - serializationStartedAt;
+    if (text !== this.#writtenText) {
       try {
         await writeFileDurably(join(folder, FILE_NAME), Buffer.from(text));
-        this.#written = text;
+        this.#writtenText = text;
         this.#hasFailed = false;
       } catch (error) {
         if (!this.#hasFailed) {
-          log.warn("Usage counts can't be kept", { error: String(error) });
+          log.warn("Can't store the usage counts", { error: String(error) });
         }
         this.#hasFailed = true;
       }
     }
-    const took = performance.now() - startedAt;
+    const writeTime = performance.now() - writeStartedAt;
     this.#schedule(
-      Math.max(INTERVAL, took / DISK_SHARE, worked / WORK_SHARE),
+      Math.max(
+        MIN_WRITE_INTERVAL,
+        writeTime / MAX_DISK_SHARE,
+        serializationTime / MAX_SERIALIZATION_SHARE,
+      ),
     );
   }
 }
--- a/apps/heroncleatd/hub/usage_store_test.ts
+++ b/apps/heroncleatd/hub/usage_store_test.ts
@@ -15,7 +15,7 @@
 
 const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-async function untilKept(text: string): Promise<void> {
+async function waitUntilStored(text: string): Promise<void> {
   for (let tries = 0; tries < 100; tries += 1) {
     await sleep(20);
     try {
@@ -23,22 +23,22 @@
         return;
       }
     } catch {
-      // Not written yet.
+      // The file doesn't exist yet.
     }
   }
-  throw new Error("the counts were not written within 2 s");
+  throw new Error("the counts weren't written within 2 s");
 }
 
 describe("usage counts", () => {
-  test("outlive the loss of all processes", async () => {
+  test("survive a restart of all processes", async () => {
     const hub = new Hub("f");
     const store = new UsageStore({ hub, folder, log });
     await store.read();
     store.start();
     hub.learnUsage({ a: { 7: { inn: 40 } } });
-    await untilKept("40");
+    await waitUntilStored("40");
     hub.learnUsage({ a: { 7: { inn: 41 } } });
-    await untilKept("41");
+    await waitUntilStored("41");
     store.stop();
     const later = new Hub("g");
     await new UsageStore({ hub: later, folder, log }).read();
@@ -47,7 +47,7 @@
     expect(warnings).toEqual([]);
   });
 
-  test("start anew, with a warning, where the file is damaged", async () => {
+  test("start empty, with a warning, if the file is damaged", async () => {
     writeFileSync(join(folder, "usage.json"), '{"version":1,"us');
     const hub = new Hub("f");
     await new UsageStore({ hub, folder, log }).read();
@@ -55,7 +55,7 @@
     expect(warnings).toHaveLength(1);
   });
 
-  test("go on where the disk takes nothing, with one warning", async () => {
+  test("continue if writes fail, with one warning", async () => {
     warnings.length = 0;
     const hub = new Hub("f");
     const missing = join(folder, "missing");
--- a/apps/heroncleatd/mod.ts
+++ b/apps/heroncleatd/mod.ts
@@ -7,7 +7,11 @@
 export type { GatewaySettings } from "./gateway/gateway_settings.ts";
 export type { HeaderNames } from "./gateway/header_names.ts";
 export type { Prompt } from "./gateway/prompt.ts";
-export type { DutyCalls, DutyHolder, DutyOutcome } from "./hub/duty_calls.ts";
+export type {
+  LeaderTaskCalls,
+  LeaderTaskHolder,
+  LeaderTaskOutcome,
+} from "./hub/leader_task_calls.ts";
 export type { HubProxySettings } from "./hub/hub_proxy_settings.ts";
 export type { HubSettings } from "./hub/hub_settings.ts";
 export type { PublishOutcome } from "./hub/publish_outcome.ts";
