--- a/apps/heroncleatd/common/request_identity.ts
+++ b/apps/heroncleatd/common/request_identity.ts
@@ -8,6 +8,6 @@
   readonly service: string;
   /** Size of the body in bytes. */
   readonly size: number;
-  /** Returns the digest of requestDigest, computed on the first call. */
+  /** Returns the result of `requestDigest`, computed on the first call. */
   readonly digest: () => string;
 };
--- a/apps/heroncleatd/hub/hub_group_test.ts
+++ b/apps/heroncleatd/hub/hub_group_test.ts
@@ -118,7 +118,7 @@
     );
     await waitUntil(async () => (await group.sendRequest(0)).status === 200);
     await Promise.all(hubs.map((hub) => hub.stop()));
-    // Waits until the last updates of the replicas have expired.
+    // Waits until the last updates from the replicas have expired.
     await new Promise((resolve) => setTimeout(resolve, 2500));
     await waitUntil(() =>
       gateways.every((gateway) => gateway.listEntries().length === 2)
--- a/apps/heroncleatd/hub/leader_task_calls.ts
+++ b/apps/heroncleatd/hub/leader_task_calls.ts
@@ -14,7 +14,7 @@
   | "fenced"
   /** The call was not carried out and may be retried. */
   | "refused"
-  /** The call may or may not have been carried out, or may be later. */
+  /** The call may have been carried out, or may still be. */
   | "unknown";
 
 /** Calls to the platform that exactly one replica makes at a time. */
