--- a/apps/heroncleatd/common/suspect_watcher_test.ts
+++ b/apps/heroncleatd/common/suspect_watcher_test.ts
@@ -25,7 +25,7 @@
  */
 class WatcherFixture {
   now = 1000;
-  readonly unreachable = new Set<string>();
+  readonly gone = new Set<string>();
   readonly replaced = new Set<string>();
   readonly crashed: string[] = [];
   readonly reported: ReportedSuspect[] = [];
@@ -44,7 +44,7 @@
     metrics,
     probe: (address) => {
       this.probes += 1;
-      return Promise.resolve(!this.unreachable.has(address));
+      return Promise.resolve(!this.gone.has(address));
     },
     isReplaced: (upstream) => this.replaced.has(upstream),
     onCrash: (upstream) => this.crashed.push(upstream),
@@ -82,7 +82,7 @@
   const request = identify("r");
   const statuses: CrashStanding[] = [];
   for (const upstream of ["u1", "u2", "u3"]) {
-    fixture.unreachable.add(upstream);
+    fixture.gone.add(upstream);
     await fixture.breakConnection(request, upstream);
     statuses.push(fixture.watcher.status(request));
   }
@@ -144,7 +144,7 @@
   const request = identify("r");
   const finishUntracked = fixture.watcher.trackCopy(request);
   expect(fixture.watcher.isInFlight(request)).toBe(false);
-  fixture.unreachable.add("u1");
+  fixture.gone.add("u1");
   await fixture.breakConnection(request, "u1");
   const finishFirst = fixture.watcher.trackCopy(request);
   const finishSecond = fixture.watcher.trackCopy(request);
--- a/apps/heroncleatd/hub/leader_task_runner.ts
+++ b/apps/heroncleatd/hub/leader_task_runner.ts
@@ -35,7 +35,7 @@
   readonly calls: LeaderTaskCalls;
   readonly leadership: () => Leadership | undefined;
   readonly propose: (command: ServingCommand) => Promise<{ kind: string }>;
-  readonly settledCounts: () => ReadonlyMap<number, WorkspaceCounts>;
+  readonly settled: () => ReadonlyMap<number, WorkspaceCounts>;
   readonly services: () => readonly Service[];
   readonly fleet: FleetSettings;
   /** Whether this process is part of the first start of the whole system. */
@@ -240,8 +240,7 @@
   }
 
   async #reportUsage(): Promise<void> {
-    const { hub, clock, usageWindow, usageDelay, settledCounts } =
-      this.#options;
+    const { hub, clock, usageWindow, usageDelay, settled } = this.#options;
     const wall = hub.estimateWall(clock.steady());
     if (wall === undefined) {
       return;
@@ -257,10 +256,10 @@
       if (this.#reportedWindows.has(window)) {
         continue;
       }
-      if (!settledCounts().has(window)) {
+      if (!settled().has(window)) {
         await this.#settleWindow(window, wall);
       }
-      const counts = settledCounts().get(window);
+      const counts = settled().get(window);
       if (counts !== undefined) {
         await this.#reportWindow(window, counts);
       }
--- a/apps/heroncleatd/hub/serving_application.ts
+++ b/apps/heroncleatd/hub/serving_application.ts
@@ -26,7 +26,7 @@
   }
 
   /** Settled counts by window number. */
-  get settledCounts(): ReadonlyMap<number, WorkspaceCounts> {
+  get settled(): ReadonlyMap<number, WorkspaceCounts> {
     return this.#settledCounts;
   }
 
--- a/apps/heroncleatd/hub/start_hub.ts
+++ b/apps/heroncleatd/hub/start_hub.ts
@@ -240,7 +240,7 @@
     calls,
     leadership: () => group.leadership,
     propose: (command) => group.propose(command),
-    settledCounts: () => group.application.settledCounts,
+    settled: () => group.application.settled,
     services: () =>
       documents.decode(group.application.document)?.services ?? [],
     fleet: options.fleet,
