--- a/apps/heroncleatd/control/group_reconciler.ts
+++ b/apps/heroncleatd/control/group_reconciler.ts
@@ -1,9 +1,9 @@
 import type { Clock, Milliseconds } from "@heroncleat/base";
 import {
+  faultTolerance,
+  type FaultToleranceTarget,
   type GroupState,
-  lossTolerance,
-  planMembers,
-  type PromisedLosses,
+  planMembershipChange,
   type Replica,
   ReplicaRole,
 } from "@heroncleat/consensus";
@@ -43,7 +43,7 @@
   readonly log: Log;
   readonly metrics: Metrics;
   /** Losses that the group is to bear. */
-  readonly promised: PromisedLosses;
+  readonly promised: FaultToleranceTarget;
   /** Region of an availability zone. */
   readonly regionOf: (zone: string) => string;
   /** Peer addresses that may be up. */
@@ -67,7 +67,7 @@
     this.#options = options;
     const { machines, zones } = options.promised;
     // Voters stand in different zones where they can, so a zone takes one.
-    this.#wantedVoters = lossTolerance.voters(Math.max(machines, zones));
+    this.#wantedVoters = faultTolerance.voters(Math.max(machines, zones));
     this.#watch = new GroupWatch({
       ...options,
       silentVoters: () => this.#silentVoters(),
@@ -181,7 +181,7 @@
   /** Whether this leader heard nothing of a member for longer than this. */
   #isSilent(id: string, limit: Milliseconds): boolean {
     const { replica, clock, self } = this.#options;
-    return id !== self.id && clock.now() - replica.heardAtOf(id) > limit;
+    return id !== self.id && clock.now() - replica.lastContactAt(id) > limit;
   }
 
   /**
@@ -195,7 +195,7 @@
 
   #repair(): void {
     const { replica, log, self } = this.#options;
-    const next = planMembers(replica.members, {
+    const next = planMembershipChange(replica.members, {
       self: self.id,
       wantedVoters: this.#wantedVoters,
       hasCaughtUp: (id) => this.#hasCaughtUp(id),
--- a/apps/heroncleatd/control/group_watch.ts
+++ b/apps/heroncleatd/control/group_watch.ts
@@ -1,8 +1,8 @@
 import type { Clock, Milliseconds } from "@heroncleat/base";
 import {
-  findUnkeptPromises,
+  describeUnmetFaultTolerance,
+  type FaultToleranceTarget,
   type GroupState,
-  type PromisedLosses,
   type Replica,
   ReplicaRole,
 } from "@heroncleat/consensus";
@@ -16,7 +16,7 @@
 /** What the watch is built from. */
 type WatchOptions = {
   readonly replica: Replica;
-  readonly promised: PromisedLosses;
+  readonly promised: FaultToleranceTarget;
   readonly regionOf: (zone: string) => string;
   readonly clock: Clock;
   readonly log: Log;
@@ -73,7 +73,11 @@
     }
     this.#members = replica.members;
     const before = this.#unkept.join(" ");
-    this.#unkept = findUnkeptPromises(this.#members, promised, regionOf);
+    this.#unkept = describeUnmetFaultTolerance(
+      this.#members,
+      promised,
+      regionOf,
+    );
     metrics.gauge("group.unkept_promises", this.#unkept.length);
     const now = this.#unkept.join(" ");
     if (now === before) {
--- a/apps/heroncleatd/control/replica_host.ts
+++ b/apps/heroncleatd/control/replica_host.ts
@@ -162,7 +162,7 @@
   }
 
   #send(effect: SendEffect): void {
-    if (effect.after > this.#durable) {
+    if (effect.afterPersist > this.#durable) {
       this.#heldBack.push(effect);
       return;
     }
@@ -189,8 +189,12 @@
   #onWritten(number: number): void {
     this.#writing = false;
     this.#durable = number;
-    const ready = this.#heldBack.filter((effect) => effect.after <= number);
-    this.#heldBack = this.#heldBack.filter((effect) => effect.after > number);
+    const ready = this.#heldBack.filter((effect) =>
+      effect.afterPersist <= number
+    );
+    this.#heldBack = this.#heldBack.filter((effect) =>
+      effect.afterPersist > number
+    );
     for (const effect of ready) {
       this.#send(effect);
     }
--- a/apps/heroncleatd/control/simulated_group.ts
+++ b/apps/heroncleatd/control/simulated_group.ts
@@ -1,7 +1,7 @@
 import { createSeededRandom } from "@heroncleat/base";
 import {
-  lossTolerance,
-  type PromisedLosses,
+  faultTolerance,
+  type FaultToleranceTarget,
   Replica,
   type ReplicaEffect,
   type ReplicaEvent,
@@ -67,7 +67,7 @@
   seeds: string[];
   now = 0;
   readonly #seed: number;
-  readonly #promised: PromisedLosses;
+  readonly #promised: FaultToleranceTarget;
   readonly #advanceTimers: (milliseconds: number) => Promise<void>;
   readonly #cut = new Set<string>();
   #packets: Packet[] = [];
@@ -90,7 +90,7 @@
     this.#seed = options.seed;
     const machines = options.losses ?? 1;
     this.#promised = { machines, zones: 0, regions: 0 };
-    const founderCount = lossTolerance.voters(machines);
+    const founderCount = faultTolerance.voters(machines);
     this.#advanceTimers = options.advanceTimers;
     this.seeds = names.slice(0, 3).map(addressOf);
     for (const name of names) {
@@ -255,8 +255,8 @@
       heartbeatInterval: ELECTION_TIMEOUT / 5,
       electionTimeout: ELECTION_TIMEOUT,
       clockDrift: 0.05,
-      snapshotChunk: 4096,
-      appendEntries: 64,
+      snapshotChunkLength: 4096,
+      maxAppendEntries: 64,
       trailingEntries: 5,
     }, {
       random: createSeededRandom(
--- a/apps/heroncleatd/control/start_control.ts
+++ b/apps/heroncleatd/control/start_control.ts
@@ -1,5 +1,5 @@
 import { createToken, splitList } from "@heroncleat/base";
-import { lossTolerance, Replica } from "@heroncleat/consensus";
+import { faultTolerance, Replica } from "@heroncleat/consensus";
 import { Journal, readDiskIdentity } from "@heroncleat/journal";
 import type {
   Announcement,
@@ -234,8 +234,8 @@
       heartbeatInterval: settings.heartbeat_interval,
       electionTimeout: settings.election_timeout,
       clockDrift: settings.clock_drift,
-      snapshotChunk: settings.snapshot_chunk,
-      appendEntries: APPEND_ENTRIES,
+      snapshotChunkLength: settings.snapshot_chunk,
+      maxAppendEntries: APPEND_ENTRIES,
       trailingEntries: TRAILING_ENTRIES,
     }, {
       random: Math.random,
@@ -282,7 +282,7 @@
       log: this.#context.log("control"),
       metrics: this.#context.metrics,
       promised: {
-        machines: lossTolerance.bornBy(peers.length + 1),
+        machines: faultTolerance.toleratedFailures(peers.length + 1),
         zones: 0,
         regions: 0,
       },
--- a/apps/heroncleatd/hub/hub_settings.ts
+++ b/apps/heroncleatd/hub/hub_settings.ts
@@ -1,4 +1,4 @@
-import type { PromisedLosses } from "@heroncleat/consensus";
+import type { FaultToleranceTarget } from "@heroncleat/consensus";
 
 /** Settings of the control side of request forwarding. */
 export type HubSettings = {
@@ -9,7 +9,7 @@
   /** Peer addresses of control replicas that may be up. */
   readonly seeds: readonly string[];
   /** What may be lost at once while everything goes on. */
-  readonly promisedLosses: PromisedLosses;
+  readonly promisedLosses: FaultToleranceTarget;
   /** VMs with a replica that may be lost at once, those of a lost zone too. */
   readonly toleratedLosses: number;
   /** Region of each availability zone. */
--- a/apps/heroncleatd/hub/leave_replicator.ts
+++ b/apps/heroncleatd/hub/leave_replicator.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { lossTolerance } from "@heroncleat/consensus";
+import { faultTolerance } from "@heroncleat/consensus";
 import type { UpstreamRecord } from "@heroncleat/serving";
 
 /**
@@ -115,7 +115,7 @@
   /** A replica that isn't a member yet is asked by nobody and doesn't count. */
   #isSafe({ knownBy }: Spread, members: readonly string[]): boolean {
     const needed = Math.min(
-      lossTolerance.copies(this.#options.toleratedLosses()),
+      faultTolerance.copies(this.#options.toleratedLosses()),
       members.length,
     );
     return knownBy.size >= needed;
--- a/apps/heroncleatd/hub/replica_group.ts
+++ b/apps/heroncleatd/hub/replica_group.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@heroncleat/base";
 import {
+  faultTolerance,
   type GroupState,
-  lossTolerance,
   Replica,
   ReplicaRole,
 } from "@heroncleat/consensus";
@@ -111,8 +111,8 @@
       heartbeatInterval: electionTimeout / HEARTBEATS_PER_TIMEOUT,
       electionTimeout,
       clockDrift,
-      snapshotChunk: SNAPSHOT_CHUNK,
-      appendEntries: APPEND_ENTRIES,
+      snapshotChunkLength: SNAPSHOT_CHUNK,
+      maxAppendEntries: APPEND_ENTRIES,
       trailingEntries: TRAILING_ENTRIES,
     }, {
       random: Math.random,
@@ -217,7 +217,7 @@
       self,
       seeds: () => options.settings().seeds,
       mayFound: settings.isFirstStart,
-      wantedFounders: lossTolerance.voters(settings.toleratedLosses),
+      wantedFounders: faultTolerance.voters(settings.toleratedLosses),
       clock: options.clock,
       log: options.log("group"),
       ...foundingCalls.caller(options.pool, {
--- a/apps/heroncleatd/hub/simulated_founding.ts
+++ b/apps/heroncleatd/hub/simulated_founding.ts
@@ -1,5 +1,5 @@
 import { createSeededRandom, type Random } from "@heroncleat/base";
-import { lossTolerance } from "@heroncleat/consensus";
+import { faultTolerance } from "@heroncleat/consensus";
 import type { FoundingView, ReplicaMember } from "@heroncleat/schema";
 import type { Log } from "../common/log.ts";
 import { foundingCalls } from "./founding_calls.ts";
@@ -117,7 +117,7 @@
       self: vm.member,
       seeds: () => this.#seeds,
       mayFound: true,
-      wantedFounders: lossTolerance.voters(this.#losses),
+      wantedFounders: faultTolerance.voters(this.#losses),
       clock: { steady: this.#now } as never,
       log: quiet,
       register: (seed, request) => call(seed, "group.register", request),
--- a/packages/bench/golden_sessions_test.ts
+++ b/packages/bench/golden_sessions_test.ts
@@ -353,8 +353,8 @@
       heartbeatInterval: 50,
       electionTimeout: 300,
       clockDrift: 0.02,
-      snapshotChunk: 4096,
-      appendEntries: 64,
+      snapshotChunkLength: 4096,
+      maxAppendEntries: 64,
       trailingEntries: 10,
     }, {
       random: createSeededRandom(place + 1),
--- a/packages/consensus/instant.ts
+++ b/packages/consensus/clock_reading.ts
@@ -7,7 +7,7 @@
  *
  * @public
  */
-export type Instant = {
+export type ClockReading = {
   readonly now: Milliseconds;
   readonly steady: Milliseconds;
 };
--- a/packages/consensus/committing.ts
+++ b/packages/consensus/commitment.ts
@@ -1,5 +1,5 @@
 import type { LogEntry, ReplicaMember } from "@heroncleat/schema";
-import { output } from "./output.ts";
+import { emit } from "./emit.ts";
 import { quorum } from "./quorum.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
@@ -8,14 +8,14 @@
  *
  * @internal
  */
-export const committing = {
+export const commitment = {
   /** Leader: commits what a majority holds on disk. */
   advance(state: ReplicaState): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return;
     }
-    const held = quorum.reachedValue(state.members, (id) => {
+    const held = quorum.majorityValue(state.members, (id) => {
       if (id === state.settings.id) {
         return state.durableIndex;
       }
@@ -23,7 +23,7 @@
     });
     // Only an entry of the present term commits by counting (Raft, 5.4.2).
     if (held > state.commitIndex && state.log.termAt(held) === state.term) {
-      committing.commitTo(state, held);
+      commitment.commitTo(state, held);
     }
   },
 
@@ -44,28 +44,31 @@
 
   /** Notes that persist effects up to `number` are on disk. */
   onPersisted(state: ReplicaState, number: number): void {
-    while (state.unsynced.length > 0 && state.unsynced[0]!.number <= number) {
-      const synced = state.unsynced.shift()!;
+    while (
+      state.unsyncedPersists.length > 0 &&
+      state.unsyncedPersists[0]!.number <= number
+    ) {
+      const synced = state.unsyncedPersists.shift()!;
       state.durableIndex = Math.max(state.durableIndex, synced.lastIndex);
     }
-    committing.advance(state);
+    commitment.advance(state);
   },
 
   /** Drops the entry at `from` and all behind it. */
   truncate(state: ReplicaState, from: number): void {
     state.log.truncate(from);
     state.durableIndex = Math.min(state.durableIndex, from - 1);
-    for (const pending of state.unsynced) {
+    for (const pending of state.unsyncedPersists) {
       pending.lastIndex = Math.min(pending.lastIndex, from - 1);
     }
-    for (const [index, proposal] of state.proposals) {
+    for (const [index, proposal] of state.pendingProposals) {
       if (index >= from) {
-        state.proposals.delete(index);
-        output.reject(state, proposal.token, "superseded");
+        state.pendingProposals.delete(index);
+        emit.reject(state, proposal.token, "superseded");
       }
     }
     if (state.membersIndex >= from) {
-      committing.restoreMembers(state);
+      commitment.restoreMembers(state);
     }
   },
 
@@ -89,13 +92,13 @@
 
 function apply(state: ReplicaState, entry: LogEntry): void {
   state.effects.push({ kind: "apply", entry });
-  const proposal = state.proposals.get(entry.index);
+  const proposal = state.pendingProposals.get(entry.index);
   if (proposal === undefined) {
     return;
   }
-  state.proposals.delete(entry.index);
+  state.pendingProposals.delete(entry.index);
   if (proposal.term !== entry.term) {
-    output.reject(state, proposal.token, "superseded");
+    emit.reject(state, proposal.token, "superseded");
     return;
   }
   state.effects.push({
--- a/packages/consensus/find_unkept_promises.ts
+++ b/packages/consensus/describe_unmet_fault_tolerance.ts
@@ -1,6 +1,6 @@
 import type { ReplicaMember } from "@heroncleat/schema";
-import { lossTolerance } from "./loss_tolerance.ts";
-import type { PromisedLosses } from "./promised_losses.ts";
+import { faultTolerance } from "./fault_tolerance.ts";
+import type { FaultToleranceTarget } from "./fault_tolerance_target.ts";
 
 /**
  * Compares what the settings promise with the voters that there are.
@@ -11,34 +11,34 @@
  * @example
  * findUnkeptPromises(members, { machines: 2, zones: 0, regions: 0 }, regionOf);
  */
-export function findUnkeptPromises(
+export function describeUnmetFaultTolerance(
   members: readonly ReplicaMember[],
-  promised: PromisedLosses,
+  promised: FaultToleranceTarget,
   regionOf: (zone: string) => string,
 ): string[] {
   const voters = members.filter(({ voter }) => voter);
-  const borne = lossTolerance.bornBy(voters.length);
+  const borne = faultTolerance.toleratedFailures(voters.length);
   const problems: string[] = [];
   if (borne < promised.machines) {
-    const wanted = lossTolerance.voters(promised.machines);
+    const wanted = faultTolerance.voters(promised.machines);
     problems.push(
       `${voters.length} voters bear the loss of ${borne} VMs, and ` +
         `${promised.machines} are promised. Remedy: run the control role on ` +
         `${wanted} VMs with a disk.`,
     );
   }
-  const zones = countBy(voters, ({ zone }) => zone);
+  const zones = countVotersBy(voters, ({ zone }) => zone);
   if (sumOfLargest(zones, promised.zones) > borne) {
-    problems.push(describePlaces("zones", promised.zones, zones));
+    problems.push(describeUnmetTarget("zones", promised.zones, zones));
   }
-  const regions = countBy(voters, ({ zone }) => regionOf(zone));
+  const regions = countVotersBy(voters, ({ zone }) => regionOf(zone));
   if (sumOfLargest(regions, promised.regions) > borne) {
-    problems.push(describePlaces("regions", promised.regions, regions));
+    problems.push(describeUnmetTarget("regions", promised.regions, regions));
   }
   return problems;
 }
 
-function describePlaces(
+function describeUnmetTarget(
   kind: "zones" | "regions",
   promised: number,
   voters: ReadonlyMap<string, number>,
@@ -49,7 +49,7 @@
     `with a disk in more ${kind}.`;
 }
 
-function countBy(
+function countVotersBy(
   voters: readonly ReplicaMember[],
   placeOf: (member: ReplicaMember) => string,
 ): ReadonlyMap<string, number> {
--- a/packages/consensus/election.ts
+++ b/packages/consensus/election.ts
@@ -4,15 +4,15 @@
   VoteReply,
   VoteRequest,
 } from "@heroncleat/schema";
-import type { Instant } from "./instant.ts";
-import { leading } from "./leading.ts";
-import { output } from "./output.ts";
+import type { ClockReading } from "./clock_reading.ts";
+import { leaderRole } from "./leader_role.ts";
+import { emit } from "./emit.ts";
 import { quorum } from "./quorum.ts";
 import { ReplicaRole } from "./replica_role.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
 /** Shortest pause between two pre-votes, as a share of the timeout. */
-const PRE_VOTE_SHARE = 0.15;
+const PRE_VOTE_PAUSE_FRACTION = 0.15;
 
 /**
  * Shortest time for a vote on the evidence that nobody leads, as a share of the
@@ -21,10 +21,10 @@
  * and 100 ms on slow disks; waiting for the whole timeout instead kept a group
  * without a leader for 0.75 s after one of four losses of power.
  */
-const QUIET_VOTE_SHARE = 0.25;
+const LEADERLESS_TIMEOUT_FRACTION = 0.25;
 
 /** A candidate for whom some voter may lead. */
-const NOT_QUIET = -1;
+const NOT_LEADERLESS = -1;
 
 /**
  * Elections with pre-vote (Raft, section 9.6 of Ongaro's dissertation). A
@@ -42,9 +42,9 @@
  */
 export const election = {
   /** Picks the next time to start an election. */
-  schedule(state: ReplicaState, at: Instant): void {
+  resetTimer(state: ReplicaState, at: ClockReading): void {
     const timeout = state.settings.electionTimeout;
-    state.electionAt = at.now + timeout + state.random() * timeout;
+    state.electionDueAt = at.now + timeout + state.random() * timeout;
   },
 
   /**
@@ -52,90 +52,96 @@
    * the others, so it may come much sooner than an election: a group that
    * starts anew elects as soon as a quorum may vote.
    */
-  schedulePreVote(state: ReplicaState, at: Instant): void {
-    const pause = state.settings.electionTimeout * PRE_VOTE_SHARE;
-    state.electionAt = at.now + pause + state.random() * pause;
+  schedulePreVoteRetry(state: ReplicaState, at: ClockReading): void {
+    const pause = state.settings.electionTimeout * PRE_VOTE_PAUSE_FRACTION;
+    state.electionDueAt = at.now + pause + state.random() * pause;
   },
 
   /** Starts a pre-vote when no leader was heard for long enough. */
-  startIfDue(state: ReplicaState, at: Instant): void {
-    if (state.role === ReplicaRole.leader || at.now < state.electionAt) {
+  startPreVoteIfDue(state: ReplicaState, at: ClockReading): void {
+    if (state.role === ReplicaRole.leader || at.now < state.electionDueAt) {
       return;
     }
     // A wall clock that jumps moves `now` only; the promise to the leader,
     // which its lease counts on, ends by the monotonic clock. Without a known
     // leader a pre-vote may show that no promise is left to keep.
-    if (state.leader !== "" && hasHeardLeader(state, at)) {
+    if (state.leader !== "" && hasRecentLeaderContact(state, at)) {
       return;
     }
     if (state.leader !== "") {
       state.leader = "";
-      output.role(state);
+      emit.role(state);
     }
     if (!quorum.isVoter(state.members, state.settings.id)) {
-      election.schedule(state, at);
+      election.resetTimer(state, at);
       return;
     }
-    election.schedulePreVote(state, at);
+    election.schedulePreVoteRetry(state, at);
     startPreVote(state, at);
   },
 
   /** Picks the first pre-vote of a replica that starts. */
-  scheduleFirst(state: ReplicaState, at: Instant): void {
-    const pause = state.settings.electionTimeout * PRE_VOTE_SHARE;
-    state.electionAt = at.now + state.random() * pause;
+  scheduleFirstPreVote(state: ReplicaState, at: ClockReading): void {
+    const pause = state.settings.electionTimeout * PRE_VOTE_PAUSE_FRACTION;
+    state.electionDueAt = at.now + state.random() * pause;
   },
 
   /** Starts a real election at once, on the leader's request. */
-  startTransfer(state: ReplicaState, at: Instant): void {
+  startTransferElection(state: ReplicaState, at: ClockReading): void {
     if (quorum.isVoter(state.members, state.settings.id)) {
-      startVote(state, at, { transfer: true, quietTerm: NOT_QUIET });
+      startElection(state, at, { transfer: true, quietTerm: NOT_LEADERLESS });
     }
   },
 
-  onRequest(state: ReplicaState, request: VoteRequest, at: Instant): void {
-    if (refusesToVote(state, request, at)) {
-      answer(state, request, false);
+  onVoteRequest(
+    state: ReplicaState,
+    request: VoteRequest,
+    at: ClockReading,
+  ): void {
+    if (isVoteRefused(state, request, at)) {
+      sendVoteReply(state, request, false);
       return;
     }
     if (!request.pre && request.term > state.term) {
       election.becomeFollower(state, request.term, "", at);
     }
-    const granted = isUpToDate(state, request) && mayVote(state, request);
+    const granted = isUpToDate(state, request) && canVoteFor(state, request);
     if (granted && !request.pre) {
       state.votedFor = request.from;
-      output.persistVote(state);
-      election.schedule(state, at);
+      emit.persistVote(state);
+      election.resetTimer(state, at);
     }
-    answer(state, request, granted);
+    sendVoteReply(state, request, granted);
   },
 
-  onReply(state: ReplicaState, reply: VoteReply, at: Instant): void {
+  onVoteReply(state: ReplicaState, reply: VoteReply, at: ClockReading): void {
     if (reply.term > state.term && !reply.granted) {
       election.becomeFollower(state, reply.term, "", at);
       return;
     }
-    if (state.role === ReplicaRole.candidate && state.preVoting && reply.pre) {
+    if (
+      state.role === ReplicaRole.candidate && state.isPreVoting && reply.pre
+    ) {
       onPreVoteReply(state, reply, at);
       return;
     }
     const counts = state.role === ReplicaRole.candidate &&
-      !state.preVoting && !reply.pre && reply.term === state.term &&
+      !state.isPreVoting && !reply.pre && reply.term === state.term &&
       reply.granted;
     if (!counts) {
       return;
     }
     state.votes.add(reply.from);
-    if (quorum.reached(state.members, (id) => state.votes.has(id))) {
-      leading.begin(state, at);
+    if (quorum.hasMajority(state.members, (id) => state.votes.has(id))) {
+      leaderRole.begin(state, at);
     }
   },
 
   /** Follows the leader that sent this, or says that it is out of date. */
-  acceptsLeader(
+  acceptLeader(
     state: ReplicaState,
     message: Append | SnapshotChunk,
-    at: Instant,
+    at: ClockReading,
   ): boolean {
     if (message.term < state.term) {
       return false;
@@ -145,8 +151,8 @@
     if (changed) {
       election.becomeFollower(state, message.term, message.from, at);
     }
-    state.leaderHeardAt = at.steady;
-    election.schedule(state, at);
+    state.lastLeaderContactAt = at.steady;
+    election.resetTimer(state, at);
     return true;
   },
 
@@ -154,106 +160,112 @@
     state: ReplicaState,
     term: number,
     leader: string,
-    at: Instant,
+    at: ClockReading,
   ): void {
     if (term > state.term) {
       state.term = term;
       state.votedFor = "";
-      output.persistVote(state);
+      emit.persistVote(state);
     }
-    leading.end(state);
+    leaderRole.end(state);
     state.role = ReplicaRole.follower;
     state.leader = leader;
     state.votes = new Set();
-    election.schedule(state, at);
-    output.role(state);
+    election.resetTimer(state, at);
+    emit.role(state);
   },
 };
 
-function startPreVote(state: ReplicaState, at: Instant): void {
+function startPreVote(state: ReplicaState, at: ClockReading): void {
   state.role = ReplicaRole.candidate;
-  state.preVoting = true;
+  state.isPreVoting = true;
   state.votes = new Set([state.settings.id]);
-  state.quietVoters = new Map([[state.settings.id, state.term]]);
-  ask(state, {
+  state.nonLeadingTerms = new Map([[state.settings.id, state.term]]);
+  requestVotes(state, {
     term: state.term + 1,
     transfer: false,
-    quietTerm: NOT_QUIET,
+    quietTerm: NOT_LEADERLESS,
   });
-  startVoteIfReady(state, at);
+  startElectionIfReady(state, at);
 }
 
 function onPreVoteReply(
   state: ReplicaState,
   reply: VoteReply,
-  at: Instant,
+  at: ClockReading,
 ): void {
   // One that knows newer members may know a leader that isn't asked here.
   const knowsAll = reply.membersIndex <= state.membersIndex;
   if (knowsAll && reply.upToDate && reply.quietTerm >= state.term) {
-    state.quietVoters.set(reply.from, reply.quietTerm);
+    state.nonLeadingTerms.set(reply.from, reply.quietTerm);
   }
   if (reply.granted && reply.term === state.term + 1) {
     state.votes.add(reply.from);
   }
-  startVoteIfReady(state, at);
+  startElectionIfReady(state, at);
 }
 
 /** Asks for votes once a quorum would grant them, or nobody may refuse. */
-function startVoteIfReady(state: ReplicaState, at: Instant): void {
-  const quietTerm = quietTermOf(state);
-  if (quietTerm !== NOT_QUIET) {
-    startVote(state, at, { transfer: false, quietTerm });
+function startElectionIfReady(state: ReplicaState, at: ClockReading): void {
+  const quietTerm = findLeaderlessTerm(state);
+  if (quietTerm !== NOT_LEADERLESS) {
+    startElection(state, at, { transfer: false, quietTerm });
     return;
   }
-  const isGranted = quorum.reached(state.members, (id) => state.votes.has(id));
-  if (isGranted && !hasHeardLeader(state, at)) {
-    startVote(state, at, { transfer: false, quietTerm });
+  const isGranted = quorum.hasMajority(
+    state.members,
+    (id) => state.votes.has(id),
+  );
+  if (isGranted && !hasRecentLeaderContact(state, at)) {
+    startElection(state, at, { transfer: false, quietTerm });
   }
 }
 
 /** The term up to which all voters said that they lead nothing. */
-function quietTermOf(state: ReplicaState): number {
+function findLeaderlessTerm(state: ReplicaState): number {
   let quietTerm = Infinity;
   for (const { id } of quorum.voters(state.members)) {
-    quietTerm = Math.min(quietTerm, state.quietVoters.get(id) ?? NOT_QUIET);
+    quietTerm = Math.min(
+      quietTerm,
+      state.nonLeadingTerms.get(id) ?? NOT_LEADERLESS,
+    );
   }
   return quietTerm >= state.term && quietTerm < Infinity
     ? quietTerm
-    : NOT_QUIET;
+    : NOT_LEADERLESS;
 }
 
-function startVote(
+function startElection(
   state: ReplicaState,
-  at: Instant,
+  at: ClockReading,
   options: { transfer: boolean; quietTerm: number },
 ): void {
   state.role = ReplicaRole.candidate;
-  state.preVoting = false;
+  state.isPreVoting = false;
   state.term += 1;
   state.votedFor = state.settings.id;
   state.leader = "";
   state.votes = new Set([state.settings.id]);
-  output.persistVote(state);
-  if (options.quietTerm === NOT_QUIET) {
-    election.schedule(state, at);
+  emit.persistVote(state);
+  if (options.quietTerm === NOT_LEADERLESS) {
+    election.resetTimer(state, at);
   } else {
-    const pause = state.settings.electionTimeout * QUIET_VOTE_SHARE;
-    state.electionAt = at.now + pause + state.random() * pause;
+    const pause = state.settings.electionTimeout * LEADERLESS_TIMEOUT_FRACTION;
+    state.electionDueAt = at.now + pause + state.random() * pause;
   }
-  ask(state, { ...options, term: state.term });
-  if (quorum.reached(state.members, (id) => state.votes.has(id))) {
-    leading.begin(state, at);
+  requestVotes(state, { ...options, term: state.term });
+  if (quorum.hasMajority(state.members, (id) => state.votes.has(id))) {
+    leaderRole.begin(state, at);
   }
 }
 
-function ask(
+function requestVotes(
   state: ReplicaState,
   options: { term: number; transfer: boolean; quietTerm: number },
 ): void {
   const request: VoteRequest = {
     kind: "vote_request",
-    pre: state.preVoting,
+    pre: state.isPreVoting,
     term: options.term,
     from: state.settings.id,
     lastIndex: state.log.lastIndex,
@@ -263,16 +275,16 @@
   };
   for (const member of quorum.voters(state.members)) {
     if (member.id !== state.settings.id) {
-      output.sendAfterSync(state, member.id, request);
+      emit.sendAfterSync(state, member.id, request);
     }
   }
 }
 
 /** A replica that heard a leader lately keeps its promise to that leader. */
-function refusesToVote(
+function isVoteRefused(
   state: ReplicaState,
   request: VoteRequest,
-  at: Instant,
+  at: ClockReading,
 ): boolean {
   if (request.term < state.term) {
     return true;
@@ -285,11 +297,14 @@
   }
   // A promise is to a leader of this replica's term at the latest.
   const isVoid = request.quietTerm >= state.term;
-  return hasHeardLeader(state, at) && !isVoid;
+  return hasRecentLeaderContact(state, at) && !isVoid;
 }
 
-function hasHeardLeader(state: ReplicaState, at: Instant): boolean {
-  return at.steady - state.leaderHeardAt < state.settings.electionTimeout;
+function hasRecentLeaderContact(
+  state: ReplicaState,
+  at: ClockReading,
+): boolean {
+  return at.steady - state.lastLeaderContactAt < state.settings.electionTimeout;
 }
 
 function isUpToDate(state: ReplicaState, request: VoteRequest): boolean {
@@ -299,14 +314,14 @@
   return request.lastIndex >= state.log.lastIndex;
 }
 
-function mayVote(state: ReplicaState, request: VoteRequest): boolean {
+function canVoteFor(state: ReplicaState, request: VoteRequest): boolean {
   if (request.pre) {
     return request.term > state.term;
   }
   return state.votedFor === "" || state.votedFor === request.from;
 }
 
-function answer(
+function sendVoteReply(
   state: ReplicaState,
   request: VoteRequest,
   granted: boolean,
@@ -318,17 +333,17 @@
     from: state.settings.id,
     granted,
     upToDate: isUpToDate(state, request),
-    quietTerm: ownQuietTerm(state),
+    quietTerm: ownNonLeadingTerm(state),
     membersIndex: state.membersIndex,
   };
-  output.sendAfterSync(state, request.from, reply);
+  emit.sendAfterSync(state, request.from, reply);
 }
 
 /** The term up to which this replica doesn't and won't lead. */
-function ownQuietTerm(state: ReplicaState): number {
+function ownNonLeadingTerm(state: ReplicaState): number {
   if (state.role === ReplicaRole.leader) {
-    return NOT_QUIET;
+    return NOT_LEADERLESS;
   }
-  const isElecting = state.role === ReplicaRole.candidate && !state.preVoting;
+  const isElecting = state.role === ReplicaRole.candidate && !state.isPreVoting;
   return isElecting ? state.term - 1 : state.term;
 }
--- a/packages/consensus/output.ts
+++ b/packages/consensus/emit.ts
@@ -10,15 +10,15 @@
  *
  * @internal
  */
-export const output = {
+export const emit = {
   persist(
     state: ReplicaState,
     records: readonly JournalRecord[],
     snapshot?: LogSnapshot,
   ): void {
-    state.persistNumber += 1;
-    const number = state.persistNumber;
-    state.unsynced.push({ number, lastIndex: state.log.lastIndex });
+    state.lastPersistNumber += 1;
+    const number = state.lastPersistNumber;
+    state.unsyncedPersists.push({ number, lastIndex: state.log.lastIndex });
     state.effects.push(
       snapshot === undefined
         ? { kind: "persist", number, records }
@@ -27,7 +27,7 @@
   },
 
   persistVote(state: ReplicaState): void {
-    output.persist(state, [
+    emit.persist(state, [
       { kind: "vote", term: state.term, votedFor: state.votedFor },
     ]);
   },
@@ -38,13 +38,15 @@
     to: string,
     message: ConsensusMessage,
   ): void {
-    const after = state.unsynced.length === 0 ? 0 : state.persistNumber;
-    state.effects.push({ kind: "send", to, message, after });
+    const after = state.unsyncedPersists.length === 0
+      ? 0
+      : state.lastPersistNumber;
+    state.effects.push({ kind: "send", to, message, afterPersist: after });
   },
 
   /** Sends at once; for messages that promise nothing about this disk. */
   send(state: ReplicaState, to: string, message: ConsensusMessage): void {
-    state.effects.push({ kind: "send", to, message, after: 0 });
+    state.effects.push({ kind: "send", to, message, afterPersist: 0 });
   },
 
   role(state: ReplicaState): void {
--- a/packages/consensus/loss_tolerance.ts
+++ b/packages/consensus/fault_tolerance.ts
@@ -6,7 +6,7 @@
  * @example
  * lossTolerance.voters(2); // 5
  */
-export const lossTolerance = {
+export const faultTolerance = {
   /** Voters of which the rest is a quorum after the losses. */
   voters: (losses: number): number => 2 * losses + 1,
 
@@ -14,5 +14,6 @@
   copies: (losses: number): number => losses + 1,
 
   /** Losses that a number of voters bears. */
-  bornBy: (voters: number): number => Math.max(0, Math.floor((voters - 1) / 2)),
+  toleratedFailures: (voters: number): number =>
+    Math.max(0, Math.floor((voters - 1) / 2)),
 };
--- a/packages/consensus/promised_losses.ts
+++ b/packages/consensus/fault_tolerance_target.ts
@@ -1,5 +1,5 @@
 /** What may be lost at once while the group goes on; any one of the three. */
-export type PromisedLosses = {
+export type FaultToleranceTarget = {
   /** VMs with a replica. */
   readonly machines: number;
   /** Availability zones. */
--- a/packages/consensus/follower_progress.ts
+++ b/packages/consensus/follower_progress.ts
@@ -5,9 +5,9 @@
   matchIndex: number;
   nextIndex: number;
   /** Whether entries or a snapshot chunk are on their way. */
-  inFlight: boolean;
+  hasRequestInFlight: boolean;
   sentAt: Milliseconds;
-  heardAt: Milliseconds;
+  lastContactAt: Milliseconds;
   /** Last heartbeat round the member answered. */
   round: number;
   /** Characters of the present snapshot that the member has. */
--- a/packages/consensus/following.ts
+++ b/packages/consensus/follower_role.ts
@@ -6,8 +6,8 @@
   ReplicaMember,
   SnapshotChunk,
 } from "@heroncleat/schema";
-import { committing } from "./committing.ts";
-import { output } from "./output.ts";
+import { commitment } from "./commitment.ts";
+import { emit } from "./emit.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
 /**
@@ -15,55 +15,61 @@
  *
  * @internal
  */
-export const following = {
+export const followerRole = {
   onAppend(state: ReplicaState, message: Append): void {
-    if (!holdsPrevious(state, message)) {
+    if (!matchesPreviousEntry(state, message)) {
       const hint = Math.min(state.log.lastIndex, message.previousIndex - 1);
-      reply(state, message, { success: false, matchIndex: Math.max(0, hint) });
+      sendAppendReply(state, message, {
+        success: false,
+        matchIndex: Math.max(0, hint),
+      });
       return;
     }
-    const added = takeEntries(state, message.entries);
+    const added = appendMissingEntries(state, message.entries);
     if (added.length > 0) {
-      output.persist(state, [{ kind: "entries", entries: added }]);
+      emit.persist(state, [{ kind: "entries", entries: added }]);
     }
     const matchIndex = message.previousIndex + message.entries.length;
-    committing.commitTo(state, Math.min(message.commit, matchIndex));
-    reply(state, message, { success: true, matchIndex });
+    commitment.commitTo(state, Math.min(message.commit, matchIndex));
+    sendAppendReply(state, message, { success: true, matchIndex });
   },
 
   /** Answers a message of an old term, so that its sender steps down. */
-  refuseOldTerm(state: ReplicaState, message: Append | SnapshotChunk): void {
-    reply(state, message, { success: false, matchIndex: 0 });
+  rejectStaleTerm(state: ReplicaState, message: Append | SnapshotChunk): void {
+    sendAppendReply(state, message, { success: false, matchIndex: 0 });
   },
 
   onSnapshotChunk(state: ReplicaState, chunk: SnapshotChunk): void {
     if (chunk.lastIndex <= state.commitIndex) {
-      replyToChunk(state, chunk, { offset: 0, done: true });
+      sendSnapshotReply(state, chunk, { offset: 0, done: true });
       return;
     }
-    const known = state.incoming;
+    const known = state.incomingSnapshot;
     const fits = known !== undefined && known.lastIndex === chunk.lastIndex &&
       known.lastTerm === chunk.lastTerm && known.data.length === chunk.offset;
     if (!fits && chunk.offset !== 0) {
       const same = known?.lastIndex === chunk.lastIndex;
       const offset = same ? known!.data.length : 0;
-      replyToChunk(state, chunk, { offset, done: false });
+      sendSnapshotReply(state, chunk, { offset, done: false });
       return;
     }
     const data = (fits ? known.data : "") + chunk.data;
-    state.incoming = {
+    state.incomingSnapshot = {
       lastIndex: chunk.lastIndex,
       lastTerm: chunk.lastTerm,
       data,
     };
     if (chunk.done) {
-      install(state, { ...state.incoming, members: chunk.members });
+      installSnapshot(state, {
+        ...state.incomingSnapshot,
+        members: chunk.members,
+      });
     }
-    replyToChunk(state, chunk, { offset: data.length, done: chunk.done });
+    sendSnapshotReply(state, chunk, { offset: data.length, done: chunk.done });
   },
 };
 
-function holdsPrevious(state: ReplicaState, message: Append): boolean {
+function matchesPreviousEntry(state: ReplicaState, message: Append): boolean {
   if (message.previousIndex <= state.commitIndex) {
     return true;
   }
@@ -71,7 +77,7 @@
 }
 
 /** Appends what is missing, after dropping what contradicts the leader. */
-function takeEntries(
+function appendMissingEntries(
   state: ReplicaState,
   entries: readonly LogEntry[],
 ): LogEntry[] {
@@ -85,7 +91,7 @@
       continue;
     }
     if (present !== undefined) {
-      committing.truncate(state, entry.index);
+      commitment.truncate(state, entry.index);
     }
     state.log.append(entry);
     added.push(entry);
@@ -97,27 +103,27 @@
   return added;
 }
 
-function install(state: ReplicaState, snapshot: LogSnapshot): void {
-  state.incoming = undefined;
+function installSnapshot(state: ReplicaState, snapshot: LogSnapshot): void {
+  state.incomingSnapshot = undefined;
   state.snapshot = snapshot;
-  committing.truncate(state, state.log.baseIndex + 1);
+  commitment.truncate(state, state.log.baseIndex + 1);
   state.log.reset(snapshot.lastIndex, snapshot.lastTerm);
   state.members = snapshot.members;
   state.membersIndex = snapshot.lastIndex;
   state.commitIndex = snapshot.lastIndex;
   state.appliedIndex = snapshot.lastIndex;
-  output.persist(state, [
+  emit.persist(state, [
     { kind: "vote", term: state.term, votedFor: state.votedFor },
   ], snapshot);
   state.effects.push({ kind: "restore", snapshot });
 }
 
-function reply(
+function sendAppendReply(
   state: ReplicaState,
   message: Append | SnapshotChunk,
   result: Pick<AppendReply, "success" | "matchIndex">,
 ): void {
-  output.sendAfterSync(state, message.from, {
+  emit.sendAfterSync(state, message.from, {
     kind: "append_reply",
     term: state.term,
     from: state.settings.id,
@@ -126,12 +132,12 @@
   });
 }
 
-function replyToChunk(
+function sendSnapshotReply(
   state: ReplicaState,
   chunk: SnapshotChunk,
   result: { offset: number; done: boolean },
 ): void {
-  output.sendAfterSync(state, chunk.from, {
+  emit.sendAfterSync(state, chunk.from, {
     kind: "snapshot_reply",
     term: state.term,
     from: state.settings.id,
--- a/packages/consensus/leading.ts
+++ b/packages/consensus/leader_role.ts
@@ -4,39 +4,39 @@
   ReplicaMember,
   SnapshotReply,
 } from "@heroncleat/schema";
-import { committing } from "./committing.ts";
+import { commitment } from "./commitment.ts";
 import type { FollowerProgress } from "./follower_progress.ts";
-import type { Instant } from "./instant.ts";
+import type { ClockReading } from "./clock_reading.ts";
 import type { Leadership } from "./leadership.ts";
-import { output } from "./output.ts";
+import { emit } from "./emit.ts";
 import { quorum } from "./quorum.ts";
 import { ReplicaRole } from "./replica_role.ts";
 import type { ReplicaState } from "./replica_state.ts";
-import { sending } from "./sending.ts";
+import { replication } from "./replication.ts";
 
 /**
  * What a leader does: append, hear answers, confirm reads, keep its lease.
  *
  * @internal
  */
-export const leading = {
-  begin(state: ReplicaState, at: Instant): void {
+export const leaderRole = {
+  begin(state: ReplicaState, at: ClockReading): void {
     state.role = ReplicaRole.leader;
     state.leader = state.settings.id;
-    state.preVoting = false;
+    state.isPreVoting = false;
     state.leadership = createLeadership(state, at);
-    output.role(state);
+    emit.role(state);
     // Nothing is known to be committed until an entry of this term is.
-    leading.append(state, { kind: "noop", payload: null });
-    sending.startRound(state, at);
+    leaderRole.append(state, { kind: "noop", payload: null });
+    replication.startHeartbeatRound(state, at);
   },
 
   end(state: ReplicaState): void {
     if (state.leadership === undefined) {
       return;
     }
-    for (const read of state.leadership.reads) {
-      output.reject(state, read.token, "not_leader");
+    for (const read of state.leadership.pendingReads) {
+      emit.reject(state, read.token, "not_leader");
     }
     state.leadership = undefined;
   },
@@ -53,43 +53,47 @@
       state.members = entry.payload as ReplicaMember[];
       state.membersIndex = index;
     }
-    output.persist(state, [{ kind: "entries", entries: [entry] }]);
+    emit.persist(state, [{ kind: "entries", entries: [entry] }]);
     return index;
   },
 
-  onAppendReply(state: ReplicaState, reply: AppendReply, at: Instant): void {
-    const progress = hear(state, reply, at);
+  onAppendReply(
+    state: ReplicaState,
+    reply: AppendReply,
+    at: ClockReading,
+  ): void {
+    const progress = recordContact(state, reply, at);
     if (progress === undefined) {
       return;
     }
-    progress.inFlight = false;
+    progress.hasRequestInFlight = false;
     if (reply.success) {
       progress.matchIndex = Math.max(progress.matchIndex, reply.matchIndex);
       progress.nextIndex = Math.max(
         progress.nextIndex,
         progress.matchIndex + 1,
       );
-      committing.advance(state);
+      commitment.advance(state);
     } else {
       progress.nextIndex = Math.max(
         progress.matchIndex + 1,
         Math.min(progress.nextIndex - 1, reply.matchIndex + 1),
       );
     }
-    leading.confirmRounds(state, at);
-    sending.entriesTo(state, reply.from, at);
+    leaderRole.confirmRounds(state, at);
+    replication.sendEntriesTo(state, reply.from, at);
   },
 
   onSnapshotReply(
     state: ReplicaState,
     reply: SnapshotReply,
-    at: Instant,
+    at: ClockReading,
   ): void {
-    const progress = hear(state, reply, at);
+    const progress = recordContact(state, reply, at);
     if (progress === undefined) {
       return;
     }
-    progress.inFlight = false;
+    progress.hasRequestInFlight = false;
     if (progress.snapshotIndex === reply.lastIndex) {
       progress.snapshotOffset = reply.offset;
     }
@@ -97,76 +101,76 @@
       progress.matchIndex = Math.max(progress.matchIndex, reply.lastIndex);
       progress.nextIndex = progress.matchIndex + 1;
       progress.snapshotIndex = 0;
-      committing.advance(state);
+      commitment.advance(state);
     }
-    leading.confirmRounds(state, at);
-    sending.entriesTo(state, reply.from, at);
+    leaderRole.confirmRounds(state, at);
+    replication.sendEntriesTo(state, reply.from, at);
   },
 
   /** Heartbeats, the quorum check and repeated sends. */
-  tick(state: ReplicaState, at: Instant): void {
+  tick(state: ReplicaState, at: ClockReading): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return;
     }
-    if (at.now >= leadership.heartbeatAt) {
-      sending.startRound(state, at);
-      leading.confirmRounds(state, at);
+    if (at.now >= leadership.nextHeartbeatAt) {
+      replication.startHeartbeatRound(state, at);
+      leaderRole.confirmRounds(state, at);
     }
   },
 
   /** Whether a leader has gone without its quorum for too long. */
-  hasLostQuorum(state: ReplicaState, at: Instant): boolean {
+  hasLostQuorum(state: ReplicaState, at: ClockReading): boolean {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return false;
     }
     const limit = at.now - state.settings.electionTimeout;
-    const hears = quorum.reached(state.members, (id) => {
+    const hears = quorum.hasMajority(state.members, (id) => {
       const progress = leadership.progress.get(id);
       return id === state.settings.id ||
-        (progress !== undefined && progress.heardAt >= limit);
+        (progress !== undefined && progress.lastContactAt >= limit);
     });
     if (hears) {
-      leadership.quorumHeardAt = at.now;
+      leadership.lastQuorumContactAt = at.now;
     }
-    return leadership.quorumHeardAt < limit;
+    return leadership.lastQuorumContactAt < limit;
   },
 
   /**
    * Whether a transfer came to nothing. The request for it may still be on
    * its way, so the lease of this term can't be taken up again.
    */
-  hasFailedTransfer(state: ReplicaState, at: Instant): boolean {
+  hasFailedTransfer(state: ReplicaState, at: ClockReading): boolean {
     const leadership = state.leadership;
-    return leadership !== undefined && leadership.transferring &&
+    return leadership !== undefined && leadership.isTransferring &&
       at.now - leadership.transferStartedAt > state.settings.electionTimeout;
   },
 
-  read(state: ReplicaState, token: string, at: Instant): void {
+  startRead(state: ReplicaState, token: string, at: ClockReading): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
-      output.reject(state, token, "not_leader");
+      emit.reject(state, token, "not_leader");
       return;
     }
-    const waiting = leadership.reads.some((read) =>
+    const waiting = leadership.pendingReads.some((read) =>
       read.round > leadership.round
     );
     const idle = leadership.confirmedRound === leadership.round;
-    leadership.reads.push({ token, round: leadership.round + 1 });
+    leadership.pendingReads.push({ token, round: leadership.round + 1 });
     if (idle && !waiting) {
-      sending.startRound(state, at);
-      leading.confirmRounds(state, at);
+      replication.startHeartbeatRound(state, at);
+      leaderRole.confirmRounds(state, at);
     }
   },
 
   /** Extends the lease and answers reads whose round a quorum confirmed. */
-  confirmRounds(state: ReplicaState, at: Instant): void {
+  confirmRounds(state: ReplicaState, at: ClockReading): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return;
     }
-    const confirmed = quorum.reachedValue(state.members, (id) => {
+    const confirmed = quorum.majorityValue(state.members, (id) => {
       if (id === state.settings.id) {
         return leadership.round;
       }
@@ -175,40 +179,40 @@
     if (confirmed > leadership.confirmedRound) {
       extendLease(state, leadership, confirmed);
     }
-    answerReads(state, leadership);
-    const waiting = leadership.reads.some((read) =>
+    completeReads(state, leadership);
+    const waiting = leadership.pendingReads.some((read) =>
       read.round > leadership.round
     );
     if (waiting && leadership.confirmedRound === leadership.round) {
-      sending.startRound(state, at);
+      replication.startHeartbeatRound(state, at);
     }
   },
 };
 
-function createLeadership(state: ReplicaState, at: Instant): Leadership {
+function createLeadership(state: ReplicaState, at: ClockReading): Leadership {
   const leadership: Leadership = {
     progress: new Map(),
     round: 0,
     roundSentAt: new Map(),
     confirmedRound: 0,
-    heartbeatAt: at.now,
-    quorumHeardAt: at.now,
+    nextHeartbeatAt: at.now,
+    lastQuorumContactAt: at.now,
     leaseUntil: 0,
-    transferring: false,
+    isTransferring: false,
     transferStartedAt: 0,
-    firstIndex: state.log.lastIndex + 1,
-    reads: [],
+    termStartIndex: state.log.lastIndex + 1,
+    pendingReads: [],
   };
   for (const member of state.members) {
-    sending.track(state, leadership, member.id);
+    replication.ensureProgress(state, leadership, member.id);
   }
   return leadership;
 }
 
-function hear(
+function recordContact(
   state: ReplicaState,
   reply: AppendReply | SnapshotReply,
-  at: Instant,
+  at: ClockReading,
 ): FollowerProgress | undefined {
   if (reply.term !== state.term) {
     return undefined;
@@ -217,7 +221,7 @@
   if (progress === undefined) {
     return undefined;
   }
-  progress.heardAt = at.now;
+  progress.lastContactAt = at.now;
   progress.round = Math.max(progress.round, reply.round);
   return progress;
 }
@@ -234,7 +238,7 @@
       leadership.roundSentAt.delete(round);
     }
   }
-  if (sentAt === undefined || leadership.transferring) {
+  if (sentAt === undefined || leadership.isTransferring) {
     return;
   }
   const { electionTimeout, clockDrift } = state.settings;
@@ -244,16 +248,16 @@
   leadership.leaseUntil = Math.max(leadership.leaseUntil, until);
 }
 
-function answerReads(state: ReplicaState, leadership: Leadership): void {
-  if (state.commitIndex < leadership.firstIndex) {
+function completeReads(state: ReplicaState, leadership: Leadership): void {
+  if (state.commitIndex < leadership.termStartIndex) {
     return;
   }
-  while (leadership.reads.length > 0) {
-    const read = leadership.reads[0]!;
+  while (leadership.pendingReads.length > 0) {
+    const read = leadership.pendingReads[0]!;
     if (read.round > leadership.confirmedRound) {
       return;
     }
-    leadership.reads.shift();
+    leadership.pendingReads.shift();
     state.effects.push({
       kind: "read_ready",
       token: read.token,
--- a/packages/consensus/leadership.ts
+++ b/packages/consensus/leadership.ts
@@ -9,13 +9,13 @@
   /** When each unconfirmed round was sent, on the `now` clock. */
   readonly roundSentAt: Map<number, Milliseconds>;
   confirmedRound: number;
-  heartbeatAt: Milliseconds;
-  quorumHeardAt: Milliseconds;
+  nextHeartbeatAt: Milliseconds;
+  lastQuorumContactAt: Milliseconds;
   leaseUntil: Milliseconds;
   /** Set once leadership is being given away; the lease is void from then. */
-  transferring: boolean;
+  isTransferring: boolean;
   transferStartedAt: Milliseconds;
   /** Index of the entry of this term that must commit before reads. */
-  readonly firstIndex: number;
-  readonly reads: { readonly token: string; readonly round: number }[];
+  readonly termStartIndex: number;
+  readonly pendingReads: { readonly token: string; readonly round: number }[];
 };
--- a/packages/consensus/plan_members.ts
+++ b/packages/consensus/plan_membership_change.ts
@@ -1,7 +1,7 @@
 import type { ReplicaMember } from "@heroncleat/schema";
 
 /** What a leader knows of members beside the list of them. */
-type MemberKnowledge = {
+type MembershipStatus = {
   /** Identity of the leader, which neither goes nor stops voting. */
   readonly self: string;
   /** Members that are to vote: 2n + 1 bear the loss of n at once. */
@@ -28,9 +28,9 @@
  * @example
  * const next = planMembers(members, { self, wantedVoters: 3, hasCaughtUp, isLost });
  */
-export function planMembers(
+export function planMembershipChange(
   members: readonly ReplicaMember[],
-  knowledge: MemberKnowledge,
+  knowledge: MembershipStatus,
 ): ReplicaMember[] | undefined {
   const { self, wantedVoters } = knowledge;
   const isGone = (member: ReplicaMember) =>
@@ -71,7 +71,7 @@
 /** A learner that can vote, best in the zone with the fewest sound voters. */
 function findStandby(
   members: readonly ReplicaMember[],
-  knowledge: MemberKnowledge,
+  knowledge: MembershipStatus,
 ): ReplicaMember | undefined {
   const sound = members.filter(({ id, voter }) =>
     voter && !knowledge.isLost(id)
--- a/packages/consensus/plan_members_test.ts
+++ b/packages/consensus/plan_membership_change_test.ts
@@ -1,5 +1,5 @@
 import type { ReplicaMember } from "@heroncleat/schema";
-import { planMembers } from "./mod.ts";
+import { planMembershipChange } from "./mod.ts";
 
 function member(
   name: string,
@@ -20,7 +20,7 @@
   const { gone = [], learning = [], wanted = 3 } = options;
   let current = [...members];
   for (let step = 0; step < 20; step += 1) {
-    const next = planMembers(current, {
+    const next = planMembershipChange(current, {
       self: "a-disk",
       wantedVoters: wanted,
       hasCaughtUp: (id) => !learning.includes(id) && !gone.includes(id),
@@ -46,13 +46,15 @@
 
   test("waits for the learner, displaces the lost voter, then promotes", () => {
     const members = [a, b, c, fresh];
-    expect(planMembers(members, { ...knowledge, hasCaughtUp: () => false }))
+    expect(
+      planMembershipChange(members, { ...knowledge, hasCaughtUp: () => false }),
+    )
       .toBeUndefined();
-    const displaced = planMembers(members, knowledge);
+    const displaced = planMembershipChange(members, knowledge);
     expect(displaced).toEqual([a, b, fresh]);
-    const promoted = planMembers(displaced!, knowledge);
+    const promoted = planMembershipChange(displaced!, knowledge);
     expect(promoted).toEqual([a, b, { ...fresh, voter: true }]);
-    expect(planMembers(promoted!, knowledge)).toBeUndefined();
+    expect(planMembershipChange(promoted!, knowledge)).toBeUndefined();
   });
 
   test("keeps a learner that isn't needed as a standby", () => {
--- a/packages/consensus/quorum.ts
+++ b/packages/consensus/quorum.ts
@@ -15,7 +15,7 @@
   },
 
   /** Whether the predicate holds for a majority of voters. */
-  reached(
+  hasMajority(
     members: readonly ReplicaMember[],
     holds: (id: string) => boolean,
   ): boolean {
@@ -25,7 +25,7 @@
   },
 
   /** The largest value that a majority of voters has reached. */
-  reachedValue(
+  majorityValue(
     members: readonly ReplicaMember[],
     valueOf: (id: string) => number,
   ): number {
--- a/packages/consensus/replica.ts
+++ b/packages/consensus/replica.ts
@@ -5,19 +5,19 @@
   LogSnapshot,
   ReplicaMember,
 } from "@heroncleat/schema";
-import { committing } from "./committing.ts";
+import { commitment } from "./commitment.ts";
 import { election } from "./election.ts";
-import { following } from "./following.ts";
-import type { Instant } from "./instant.ts";
-import { leading } from "./leading.ts";
-import { output } from "./output.ts";
+import { followerRole } from "./follower_role.ts";
+import type { ClockReading } from "./clock_reading.ts";
+import { leaderRole } from "./leader_role.ts";
+import { emit } from "./emit.ts";
 import type { ReplicaEffect } from "./replica_effect.ts";
 import type { ReplicaEvent } from "./replica_event.ts";
 import { ReplicaRole } from "./replica_role.ts";
 import type { ReplicaSettings } from "./replica_settings.ts";
 import type { ReplicaState } from "./replica_state.ts";
 import { restoreState } from "./restore_state.ts";
-import { sending } from "./sending.ts";
+import { replication } from "./replication.ts";
 import type { StoredReplica } from "./stored_replica.ts";
 
 /**
@@ -35,7 +35,7 @@
 
   constructor(
     settings: ReplicaSettings,
-    options: { random: Random; stored: StoredReplica; at: Instant },
+    options: { random: Random; stored: StoredReplica; at: ClockReading },
   ) {
     this.#state = restoreState(settings, options);
   }
@@ -79,10 +79,10 @@
    */
   get leaseUntil(): Milliseconds {
     const leadership = this.#state.leadership;
-    if (leadership === undefined || leadership.transferring) {
+    if (leadership === undefined || leadership.isTransferring) {
       return 0;
     }
-    const ready = this.#state.commitIndex >= leadership.firstIndex;
+    const ready = this.#state.commitIndex >= leadership.termStartIndex;
     return ready ? leadership.leaseUntil : 0;
   }
 
@@ -92,11 +92,11 @@
   }
 
   /** When its leader last heard a member, on the `now` clock. */
-  heardAtOf(id: string): Milliseconds {
-    return this.#state.leadership?.progress.get(id)?.heardAt ?? Infinity;
+  lastContactAt(id: string): Milliseconds {
+    return this.#state.leadership?.progress.get(id)?.lastContactAt ?? Infinity;
   }
 
-  handle(event: ReplicaEvent, at: Instant): ReplicaEffect[] {
+  handle(event: ReplicaEvent, at: ClockReading): ReplicaEffect[] {
     const state = this.#state;
     state.effects = [];
     switch (event.kind) {
@@ -113,14 +113,14 @@
         changeMembers(state, event, at);
         break;
       case "read":
-        leading.read(state, event.token, at);
+        leaderRole.startRead(state, event.token, at);
         break;
       case "persisted":
-        committing.onPersisted(state, event.number);
-        leading.confirmRounds(state, at);
+        commitment.onPersisted(state, event.number);
+        leaderRole.confirmRounds(state, at);
         break;
       case "snapshot_taken":
-        compact(state, event);
+        compactLog(state, event);
         break;
       case "step_down":
         transferLeadership(state, at);
@@ -128,61 +128,61 @@
       default:
         unreachable(event);
     }
-    stopLeadingWhenRemoved(state, at);
+    stepDownWhenRemoved(state, at);
     return state.effects;
   }
 }
 
-function onTick(state: ReplicaState, at: Instant): void {
-  const steppingDown = leading.hasLostQuorum(state, at) ||
-    leading.hasFailedTransfer(state, at);
+function onTick(state: ReplicaState, at: ClockReading): void {
+  const steppingDown = leaderRole.hasLostQuorum(state, at) ||
+    leaderRole.hasFailedTransfer(state, at);
   if (steppingDown) {
     election.becomeFollower(state, state.term, "", at);
     return;
   }
-  leading.tick(state, at);
-  election.startIfDue(state, at);
+  leaderRole.tick(state, at);
+  election.startPreVoteIfDue(state, at);
 }
 
 function onMessage(
   state: ReplicaState,
   message: ConsensusMessage,
-  at: Instant,
+  at: ClockReading,
 ): void {
   switch (message.kind) {
     case "vote_request":
-      election.onRequest(state, message, at);
+      election.onVoteRequest(state, message, at);
       return;
     case "vote_reply":
-      election.onReply(state, message, at);
+      election.onVoteReply(state, message, at);
       return;
     case "append":
-      if (election.acceptsLeader(state, message, at)) {
-        following.onAppend(state, message);
+      if (election.acceptLeader(state, message, at)) {
+        followerRole.onAppend(state, message);
       } else {
-        following.refuseOldTerm(state, message);
+        followerRole.rejectStaleTerm(state, message);
       }
       return;
     case "snapshot_chunk":
-      if (election.acceptsLeader(state, message, at)) {
-        following.onSnapshotChunk(state, message);
+      if (election.acceptLeader(state, message, at)) {
+        followerRole.onSnapshotChunk(state, message);
       } else {
-        following.refuseOldTerm(state, message);
+        followerRole.rejectStaleTerm(state, message);
       }
       return;
     case "append_reply":
-      if (!stepsDownFor(state, message.term, at)) {
-        leading.onAppendReply(state, message, at);
+      if (!stepDownOnNewerTerm(state, message.term, at)) {
+        leaderRole.onAppendReply(state, message, at);
       }
       return;
     case "snapshot_reply":
-      if (!stepsDownFor(state, message.term, at)) {
-        leading.onSnapshotReply(state, message, at);
+      if (!stepDownOnNewerTerm(state, message.term, at)) {
+        leaderRole.onSnapshotReply(state, message, at);
       }
       return;
     case "transfer":
       if (message.term === state.term) {
-        election.startTransfer(state, at);
+        election.startTransferElection(state, at);
       }
       return;
     default:
@@ -190,10 +190,10 @@
   }
 }
 
-function stepsDownFor(
+function stepDownOnNewerTerm(
   state: ReplicaState,
   term: number,
-  at: Instant,
+  at: ClockReading,
 ): boolean {
   if (term <= state.term) {
     return false;
@@ -205,23 +205,23 @@
 function propose(
   state: ReplicaState,
   event: { token: string; command: unknown },
-  at: Instant,
+  at: ClockReading,
 ): void {
-  if (!mayPropose(state, event.token)) {
+  if (!ensureCanPropose(state, event.token)) {
     return;
   }
-  const index = leading.append(state, {
+  const index = leaderRole.append(state, {
     kind: "command",
     payload: event.command,
   });
-  state.proposals.set(index, { token: event.token, term: state.term });
-  sending.entriesToAll(state, at);
+  state.pendingProposals.set(index, { token: event.token, term: state.term });
+  replication.sendEntriesToAll(state, at);
 }
 
-function mayPropose(state: ReplicaState, token: string): boolean {
+function ensureCanPropose(state: ReplicaState, token: string): boolean {
   const leadership = state.leadership;
-  if (leadership === undefined || leadership.transferring) {
-    output.reject(state, token, "not_leader");
+  if (leadership === undefined || leadership.isTransferring) {
+    emit.reject(state, token, "not_leader");
     return false;
   }
   return true;
@@ -230,27 +230,27 @@
 function changeMembers(
   state: ReplicaState,
   event: { token: string; members: readonly ReplicaMember[] },
-  at: Instant,
+  at: ClockReading,
 ): void {
-  if (!mayPropose(state, event.token)) {
+  if (!ensureCanPropose(state, event.token)) {
     return;
   }
-  const ready = state.commitIndex >= state.leadership!.firstIndex &&
+  const ready = state.commitIndex >= state.leadership!.termStartIndex &&
     state.membersIndex <= state.commitIndex;
-  if (!ready || votersChanged(state, event.members) > 1) {
-    output.reject(state, event.token, "members_busy");
+  if (!ready || countChangedVoters(state, event.members) > 1) {
+    emit.reject(state, event.token, "members_busy");
     return;
   }
-  const index = leading.append(state, {
+  const index = leaderRole.append(state, {
     kind: "members",
     payload: event.members,
   });
-  state.proposals.set(index, { token: event.token, term: state.term });
-  sending.startRound(state, at);
+  state.pendingProposals.set(index, { token: event.token, term: state.term });
+  replication.startHeartbeatRound(state, at);
 }
 
 /** Two majorities meet only when voters change one at a time. */
-function votersChanged(
+function countChangedVoters(
   state: ReplicaState,
   members: readonly ReplicaMember[],
 ): number {
@@ -265,7 +265,7 @@
   return removed.length + added.length;
 }
 
-function compact(
+function compactLog(
   state: ReplicaState,
   event: { index: number; data: string },
 ): void {
@@ -288,7 +288,7 @@
     event.index + 1,
     state.log.lastIndex - event.index,
   );
-  output.persist(state, [
+  emit.persist(state, [
     { kind: "vote", term: state.term, votedFor: state.votedFor },
     { kind: "entries", entries },
   ], snapshot);
@@ -306,12 +306,12 @@
 }
 
 /** Gives leadership to the member that holds most of the log. */
-function transferLeadership(state: ReplicaState, at: Instant): void {
+function transferLeadership(state: ReplicaState, at: ClockReading): void {
   const leadership = state.leadership;
   if (leadership === undefined) {
     return;
   }
-  leadership.transferring = true;
+  leadership.isTransferring = true;
   leadership.transferStartedAt = at.now;
   const candidates = state.members
     .filter((member) => member.voter && member.id !== state.settings.id)
@@ -324,8 +324,8 @@
   if (best === undefined) {
     return;
   }
-  sending.entriesTo(state, best.id, at);
-  output.send(state, best.id, {
+  replication.sendEntriesTo(state, best.id, at);
+  emit.send(state, best.id, {
     kind: "transfer",
     term: state.term,
     from: state.settings.id,
@@ -333,7 +333,7 @@
 }
 
 /** A leader that is no longer a member leads until its removal commits. */
-function stopLeadingWhenRemoved(state: ReplicaState, at: Instant): void {
+function stepDownWhenRemoved(state: ReplicaState, at: ClockReading): void {
   const removed = state.leadership !== undefined &&
     !state.members.some((member) =>
       member.voter && member.id === state.settings.id
--- a/packages/consensus/replica_effect.ts
+++ b/packages/consensus/replica_effect.ts
@@ -24,7 +24,7 @@
     readonly kind: "send";
     readonly to: string;
     readonly message: ConsensusMessage;
-    readonly after: number;
+    readonly afterPersist: number;
   }
   | { readonly kind: "apply"; readonly entry: LogEntry }
   | { readonly kind: "restore"; readonly snapshot: LogSnapshot }
--- a/packages/consensus/replica_settings.ts
+++ b/packages/consensus/replica_settings.ts
@@ -13,9 +13,9 @@
   /** Largest relative difference between the rates of two clocks. */
   readonly clockDrift: number;
   /** Characters in one snapshot chunk. */
-  readonly snapshotChunk: number;
+  readonly snapshotChunkLength: number;
   /** Entries in one append. */
-  readonly appendEntries: number;
+  readonly maxAppendEntries: number;
   /** Entries kept behind a snapshot, so that a slow member needs none. */
   readonly trailingEntries: number;
 };
--- a/packages/consensus/replica_state.ts
+++ b/packages/consensus/replica_state.ts
@@ -22,21 +22,23 @@
   snapshot: LogSnapshot;
   commitIndex: number;
   appliedIndex: number;
-  electionAt: Milliseconds;
+  electionDueAt: Milliseconds;
   /** Last contact from a leader, on the `steady` clock. */
-  leaderHeardAt: Milliseconds;
-  preVoting: boolean;
+  lastLeaderContactAt: Milliseconds;
+  isPreVoting: boolean;
   votes: Set<string>;
   /** Voters that said in this pre-vote up to which term they lead nothing. */
-  quietVoters: Map<string, number>;
+  nonLeadingTerms: Map<string, number>;
   leadership: Leadership | undefined;
   /** Tokens of proposals by log index. */
-  readonly proposals: Map<number, { token: string; term: number }>;
-  persistNumber: number;
+  readonly pendingProposals: Map<number, { token: string; term: number }>;
+  lastPersistNumber: number;
   /** Last log index that each unsynced persist effect covers. */
-  readonly unsynced: { number: number; lastIndex: number }[];
+  readonly unsyncedPersists: { number: number; lastIndex: number }[];
   /** Last log index known to be on this disk. */
   durableIndex: number;
-  incoming: { lastIndex: number; lastTerm: number; data: string } | undefined;
+  incomingSnapshot:
+    | { lastIndex: number; lastTerm: number; data: string }
+    | undefined;
   effects: ReplicaEffect[];
 };
--- a/packages/consensus/replica_test.ts
+++ b/packages/consensus/replica_test.ts
@@ -84,8 +84,8 @@
       heartbeatInterval: 50,
       electionTimeout: ELECTION_TIMEOUT,
       clockDrift: DRIFT,
-      snapshotChunk: 512,
-      appendEntries: 8,
+      snapshotChunkLength: 512,
+      maxAppendEntries: 8,
       trailingEntries: 3,
     }, {
       // Replicas that start in the same moment must not draw the same numbers.
@@ -117,7 +117,7 @@
         node.unsynced.push(effect);
         return;
       case "send":
-        if (effect.after > node.durable) {
+        if (effect.afterPersist > node.durable) {
           node.heldBack.push(effect);
         } else {
           this.packets.push({
@@ -176,8 +176,12 @@
       node.stored.records.push(...structuredClone(persist.records));
       node.durable = persist.number;
     }
-    const ready = node.heldBack.filter((send) => send.after <= node.durable);
-    node.heldBack = node.heldBack.filter((send) => send.after > node.durable);
+    const ready = node.heldBack.filter((send) =>
+      send.afterPersist <= node.durable
+    );
+    node.heldBack = node.heldBack.filter((send) =>
+      send.afterPersist > node.durable
+    );
     for (const send of ready) {
       this.carryOut(node, send);
     }
@@ -617,7 +621,7 @@
       const persist = effects.findLast((effect) => effect.kind === "persist");
       const send = effects.find((effect) => effect.kind === "send");
       expect(send).toMatchObject({
-        after: (persist as { number: number }).number,
+        afterPersist: (persist as { number: number }).number,
       });
     }
   });
--- a/packages/consensus/sending.ts
+++ b/packages/consensus/replication.ts
@@ -1,21 +1,21 @@
 import type { Append, SnapshotChunk } from "@heroncleat/schema";
 import type { FollowerProgress } from "./follower_progress.ts";
-import type { Instant } from "./instant.ts";
+import type { ClockReading } from "./clock_reading.ts";
 import type { Leadership } from "./leadership.ts";
-import { output } from "./output.ts";
+import { emit } from "./emit.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
 /** Rounds whose send time is remembered while no quorum answers. */
-const MOST_ROUNDS = 1000;
+const MAX_UNCONFIRMED_ROUNDS = 1000;
 
 /**
  * What a leader sends to the other members.
  *
  * @internal
  */
-export const sending = {
+export const replication = {
   /** Starts to follow the progress of a member. */
-  track(
+  ensureProgress(
     state: ReplicaState,
     leadership: Leadership,
     id: string,
@@ -30,9 +30,9 @@
     const progress: FollowerProgress = {
       matchIndex: 0,
       nextIndex: state.log.lastIndex + 1,
-      inFlight: false,
+      hasRequestInFlight: false,
       sentAt: 0,
-      heardAt: leadership.quorumHeardAt,
+      lastContactAt: leadership.lastQuorumContactAt,
       round: 0,
       snapshotOffset: 0,
       snapshotIndex: 0,
@@ -42,66 +42,68 @@
   },
 
   /** Sends a numbered heartbeat, with entries where some are missing. */
-  startRound(state: ReplicaState, at: Instant): void {
+  startHeartbeatRound(state: ReplicaState, at: ClockReading): void {
     const leadership = state.leadership!;
     leadership.round += 1;
     leadership.roundSentAt.set(leadership.round, at.now);
-    if (leadership.roundSentAt.size > MOST_ROUNDS) {
-      leadership.roundSentAt.delete(leadership.round - MOST_ROUNDS);
+    if (leadership.roundSentAt.size > MAX_UNCONFIRMED_ROUNDS) {
+      leadership.roundSentAt.delete(leadership.round - MAX_UNCONFIRMED_ROUNDS);
     }
-    leadership.heartbeatAt = at.now + state.settings.heartbeatInterval;
+    leadership.nextHeartbeatAt = at.now + state.settings.heartbeatInterval;
     for (const member of state.members) {
-      const progress = sending.track(state, leadership, member.id);
+      const progress = replication.ensureProgress(state, leadership, member.id);
       if (progress === undefined) {
         continue;
       }
       const waited = at.now - progress.sentAt;
-      if (progress.inFlight && waited < state.settings.electionTimeout) {
+      if (
+        progress.hasRequestInFlight && waited < state.settings.electionTimeout
+      ) {
         sendHeartbeat(state, member.id, progress);
         continue;
       }
-      progress.inFlight = false;
-      sendNext(state, member.id, { progress, at, always: true });
+      progress.hasRequestInFlight = false;
+      sendEntriesOrSnapshot(state, member.id, { progress, at, always: true });
     }
   },
 
   /** Sends missing entries to every member that isn't busy with some. */
-  entriesToAll(state: ReplicaState, at: Instant): void {
+  sendEntriesToAll(state: ReplicaState, at: ClockReading): void {
     for (const member of state.members) {
-      sending.entriesTo(state, member.id, at);
+      replication.sendEntriesTo(state, member.id, at);
     }
   },
 
-  entriesTo(state: ReplicaState, id: string, at: Instant): void {
+  sendEntriesTo(state: ReplicaState, id: string, at: ClockReading): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return;
     }
-    const progress = sending.track(state, leadership, id);
-    if (progress !== undefined && !progress.inFlight) {
-      sendNext(state, id, { progress, at, always: false });
+    const progress = replication.ensureProgress(state, leadership, id);
+    if (progress !== undefined && !progress.hasRequestInFlight) {
+      sendEntriesOrSnapshot(state, id, { progress, at, always: false });
     }
   },
 };
 
-function sendNext(
+function sendEntriesOrSnapshot(
   state: ReplicaState,
   id: string,
-  options: { progress: FollowerProgress; at: Instant; always: boolean },
+  options: { progress: FollowerProgress; at: ClockReading; always: boolean },
 ): void {
   const { progress, at, always } = options;
   if (progress.nextIndex <= state.log.baseIndex) {
     sendSnapshotChunk(state, id, { progress, at });
     return;
   }
-  const most = state.settings.appendEntries;
+  const most = state.settings.maxAppendEntries;
   const entries = state.log.slice(progress.nextIndex, most);
   if (entries.length === 0 && !always) {
     return;
   }
-  output.send(state, id, createAppend(state, progress.nextIndex, entries));
+  emit.send(state, id, createAppend(state, progress.nextIndex, entries));
   if (entries.length > 0) {
-    progress.inFlight = true;
+    progress.hasRequestInFlight = true;
     progress.sentAt = at.now;
   }
 }
@@ -114,7 +116,7 @@
   // The match index is known to be held, so this never contradicts what is
   // on its way.
   const next = Math.max(progress.matchIndex, state.log.baseIndex) + 1;
-  output.send(state, id, createAppend(state, next, []));
+  emit.send(state, id, createAppend(state, next, []));
 }
 
 function createAppend(
@@ -137,7 +139,7 @@
 function sendSnapshotChunk(
   state: ReplicaState,
   id: string,
-  options: { progress: FollowerProgress; at: Instant },
+  options: { progress: FollowerProgress; at: ClockReading },
 ): void {
   const { progress, at } = options;
   const { snapshot } = state;
@@ -145,7 +147,7 @@
     progress.snapshotIndex = snapshot.lastIndex;
     progress.snapshotOffset = 0;
   }
-  const end = progress.snapshotOffset + state.settings.snapshotChunk;
+  const end = progress.snapshotOffset + state.settings.snapshotChunkLength;
   const message: SnapshotChunk = {
     kind: "snapshot_chunk",
     term: state.term,
@@ -158,7 +160,7 @@
     done: end >= snapshot.data.length,
     round: state.leadership!.round,
   };
-  output.send(state, id, message);
-  progress.inFlight = true;
+  emit.send(state, id, message);
+  progress.hasRequestInFlight = true;
   progress.sentAt = at.now;
 }
--- a/packages/consensus/restore_state.ts
+++ b/packages/consensus/restore_state.ts
@@ -1,8 +1,8 @@
 import type { Random } from "@heroncleat/base";
 import type { LogEntry, LogSnapshot } from "@heroncleat/schema";
-import { committing } from "./committing.ts";
+import { commitment } from "./commitment.ts";
 import { election } from "./election.ts";
-import type { Instant } from "./instant.ts";
+import type { ClockReading } from "./clock_reading.ts";
 import { ReplicaRole } from "./replica_role.ts";
 import type { ReplicaSettings } from "./replica_settings.ts";
 import type { ReplicaState } from "./replica_state.ts";
@@ -12,7 +12,7 @@
 /** Rebuilds a replica's state from its settings and its disk. @internal */
 export function restoreState(
   settings: ReplicaSettings,
-  options: { random: Random; stored: StoredReplica; at: Instant },
+  options: { random: Random; stored: StoredReplica; at: ClockReading },
 ): ReplicaState {
   const { random, stored, at } = options;
   const snapshot: LogSnapshot = stored.snapshot ?? {
@@ -22,7 +22,7 @@
     data: "",
   };
   const log = new ReplicatedLog(snapshot.lastIndex, snapshot.lastTerm, []);
-  const vote = replay(log, stored);
+  const vote = replayRecords(log, stored);
   const state: ReplicaState = {
     settings,
     random,
@@ -36,27 +36,27 @@
     snapshot,
     commitIndex: snapshot.lastIndex,
     appliedIndex: snapshot.lastIndex,
-    electionAt: 0,
+    electionDueAt: 0,
     // This replica may have heard a leader just before it stopped, so it
     // starts with the promise not to elect another.
-    leaderHeardAt: at.steady,
-    preVoting: false,
+    lastLeaderContactAt: at.steady,
+    isPreVoting: false,
     votes: new Set(),
-    quietVoters: new Map(),
+    nonLeadingTerms: new Map(),
     leadership: undefined,
-    proposals: new Map(),
-    persistNumber: 0,
-    unsynced: [],
+    pendingProposals: new Map(),
+    lastPersistNumber: 0,
+    unsyncedPersists: [],
     durableIndex: log.lastIndex,
-    incoming: undefined,
+    incomingSnapshot: undefined,
     effects: [],
   };
-  committing.restoreMembers(state);
-  election.scheduleFirst(state, at);
+  commitment.restoreMembers(state);
+  election.scheduleFirstPreVote(state, at);
   return state;
 }
 
-function replay(
+function replayRecords(
   log: ReplicatedLog,
   stored: StoredReplica,
 ): { term: number; votedFor: string } {
