--- a/packages/consensus/clock_reading.ts
+++ b/packages/consensus/clock_reading.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from "@heroncleat/base";
 
 /**
- * The two readings of the clock that a replica needs: `now` for what it holds
- * (a lease may end early), `steady` for what it grants (a promise may last
- * long).
+ * Readings of the two clocks that a replica uses. The leader measures its lease
+ * on `now`, which may run ahead and so end a lease early. Followers measure
+ * their refusal of votes on `steady`, which never runs ahead.
  *
  * @public
  */
--- a/packages/consensus/commitment.ts
+++ b/packages/consensus/commitment.ts
@@ -4,26 +4,30 @@
 import type { ReplicaState } from "./replica_state.ts";
 
 /**
- * Moves the commit index and hands committed entries to the application.
+ * Advances the commit index and passes committed entries to the application.
  *
  * @internal
  */
 export const commitment = {
-  /** Leader: commits what a majority holds on disk. */
+  /** Commits, on the leader, the entries that a majority has on disk. */
   advance(state: ReplicaState): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return;
     }
-    const held = quorum.majorityValue(state.members, (id) => {
+    const majorityIndex = quorum.majorityValue(state.members, (id) => {
       if (id === state.settings.id) {
         return state.durableIndex;
       }
       return leadership.progress.get(id)?.matchIndex ?? 0;
     });
-    // Only an entry of the present term commits by counting (Raft, 5.4.2).
-    if (held > state.commitIndex && state.log.termAt(held) === state.term) {
-      commitment.commitTo(state, held);
+    // Counting replicas commits only entries of the current term (Raft,
+    // section 5.4.2).
+    if (
+      majorityIndex > state.commitIndex &&
+      state.log.termAt(majorityIndex) === state.term
+    ) {
+      commitment.commitTo(state, majorityIndex);
     }
   },
 
@@ -42,7 +46,7 @@
     }
   },
 
-  /** Notes that persist effects up to `number` are on disk. */
+  /** Records that the persist effects up to `number` are on disk. */
   onPersisted(state: ReplicaState, number: number): void {
     while (
       state.unsyncedPersists.length > 0 &&
@@ -54,12 +58,12 @@
     commitment.advance(state);
   },
 
-  /** Drops the entry at `from` and all behind it. */
+  /** Drops the entry at `from` and all later ones; rejects their proposals. */
   truncate(state: ReplicaState, from: number): void {
     state.log.truncate(from);
     state.durableIndex = Math.min(state.durableIndex, from - 1);
-    for (const pending of state.unsyncedPersists) {
-      pending.lastIndex = Math.min(pending.lastIndex, from - 1);
+    for (const persist of state.unsyncedPersists) {
+      persist.lastIndex = Math.min(persist.lastIndex, from - 1);
     }
     for (const [index, proposal] of state.pendingProposals) {
       if (index >= from) {
@@ -72,7 +76,7 @@
     }
   },
 
-  /** Finds the latest member list that is still in the log. */
+  /** Resets the members to the latest list in the log or the snapshot. */
   restoreMembers(state: ReplicaState): void {
     state.members = state.snapshot.members;
     state.membersIndex = state.snapshot.lastIndex;
--- a/packages/consensus/describe_unmet_fault_tolerance.ts
+++ b/packages/consensus/describe_unmet_fault_tolerance.ts
@@ -3,68 +3,71 @@
 import type { FaultToleranceTarget } from "./fault_tolerance_target.ts";
 
 /**
- * Compares what the settings promise with the voters that there are.
+ * Compares the voters of a group with its fault tolerance target.
  *
- * @returns A sentence with its remedy for each promise that can't be kept.
+ * @returns One message with its remedy for each target that isn't met.
  *
  * @public
  * @example
- * findUnkeptPromises(members, { machines: 2, zones: 0, regions: 0 }, regionOf);
+ * const target = { machines: 2, zones: 0, regions: 0 };
+ * describeUnmetFaultTolerance(members, target, regionOf);
  */
 export function describeUnmetFaultTolerance(
   members: readonly ReplicaMember[],
-  promised: FaultToleranceTarget,
+  target: FaultToleranceTarget,
   regionOf: (zone: string) => string,
 ): string[] {
   const voters = members.filter(({ voter }) => voter);
-  const borne = faultTolerance.toleratedFailures(voters.length);
+  const tolerated = faultTolerance.toleratedFailures(voters.length);
   const problems: string[] = [];
-  if (borne < promised.machines) {
-    const wanted = faultTolerance.voters(promised.machines);
+  if (tolerated < target.machines) {
+    const requiredVoters = faultTolerance.voters(target.machines);
     problems.push(
-      `${voters.length} voters bear the loss of ${borne} VMs, and ` +
-        `${promised.machines} are promised. Remedy: run the control role on ` +
-        `${wanted} VMs with a disk.`,
+      `${voters.length} voters tolerate the loss of ${tolerated} VMs, but the ` +
+        `target is ${target.machines}. Remedy: run the control role on ` +
+        `${requiredVoters} VMs with a disk.`,
     );
   }
-  const zones = countVotersBy(voters, ({ zone }) => zone);
-  if (sumOfLargest(zones, promised.zones) > borne) {
-    problems.push(describeUnmetTarget("zones", promised.zones, zones));
+  const votersByZone = countVotersBy(voters, ({ zone }) => zone);
+  if (sumOfLargest(votersByZone, target.zones) > tolerated) {
+    problems.push(describeUnmetTarget("zones", target.zones, votersByZone));
   }
-  const regions = countVotersBy(voters, ({ zone }) => regionOf(zone));
-  if (sumOfLargest(regions, promised.regions) > borne) {
-    problems.push(describeUnmetTarget("regions", promised.regions, regions));
+  const votersByRegion = countVotersBy(voters, ({ zone }) => regionOf(zone));
+  if (sumOfLargest(votersByRegion, target.regions) > tolerated) {
+    problems.push(
+      describeUnmetTarget("regions", target.regions, votersByRegion),
+    );
   }
   return problems;
 }
 
 function describeUnmetTarget(
   kind: "zones" | "regions",
-  promised: number,
+  required: number,
   voters: ReadonlyMap<string, number>,
 ): string {
   const counts = [...voters].map(([name, count]) => `${name} ${count}`);
-  return `The loss of ${promised} ${kind} is promised and takes the quorum ` +
-    `(voters: ${counts.join(", ")}). Remedy: run the control role on VMs ` +
-    `with a disk in more ${kind}.`;
+  return `The loss of ${required} ${kind} must be tolerated but removes the ` +
+    `quorum (voters: ${counts.join(", ")}). Remedy: run the control role on ` +
+    `VMs with a disk in more ${kind}.`;
 }
 
 function countVotersBy(
   voters: readonly ReplicaMember[],
-  placeOf: (member: ReplicaMember) => string,
+  locationOf: (member: ReplicaMember) => string,
 ): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const voter of voters) {
-    const place = placeOf(voter);
-    counts.set(place, (counts.get(place) ?? 0) + 1);
+    const location = locationOf(voter);
+    counts.set(location, (counts.get(location) ?? 0) + 1);
   }
   return counts;
 }
 
 function sumOfLargest(
   counts: ReadonlyMap<string, number>,
-  places: number,
+  locations: number,
 ): number {
   const sorted = [...counts.values()].sort((left, right) => right - left);
-  return sorted.slice(0, places).reduce((sum, count) => sum + count, 0);
+  return sorted.slice(0, locations).reduce((sum, count) => sum + count, 0);
 }
--- a/packages/consensus/election.ts
+++ b/packages/consensus/election.ts
@@ -11,60 +11,56 @@
 import { ReplicaRole } from "./replica_role.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
-/** Shortest pause between two pre-votes, as a share of the timeout. */
+/** Minimum pause between pre-votes, as a fraction of the election timeout. */
 const PRE_VOTE_PAUSE_FRACTION = 0.15;
 
 /**
- * Shortest time for a vote on the evidence that nobody leads, as a share of the
- * timeout. Replicas that start in the same moment may all find that evidence
- * at once and each vote for itself. A vote takes two syncs and two ways, 10 ms
- * and 100 ms on slow disks; waiting for the whole timeout instead kept a group
- * without a leader for 0.75 s after one of four losses of power.
+ * Minimum time until an election that started because no voter leads is
+ * retried, as a fraction of the election timeout. Replicas that start at the
+ * same time are likely to split the vote, so the retry comes early.
  */
 const LEADERLESS_TIMEOUT_FRACTION = 0.25;
 
-/** A candidate for whom some voter may lead. */
+/** Value of `quietTerm` while some voter leads or may lead. */
 const NOT_LEADERLESS = -1;
 
 /**
- * Elections with pre-vote (Raft, section 9.6 of Ongaro's dissertation). A
- * replica that heard a leader lately grants no vote, which is what a leader's
- * lease rests on.
+ * Leader election with pre-vote (Raft, section 9.6 of Ongaro's dissertation).
+ * A replica that had contact with a leader within the election timeout grants
+ * no vote; leader leases rely on this.
  *
- * A replica that restarts can't know whether it heard a leader just before, so
- * it keeps that promise for one timeout. But once every voter has said that it
- * leads nothing, no lease is left to guard: a candidate that heard this of all
- * of them shows it with its request, and the promise is void. After a loss of
- * all processes a leader stands 0.1 s after the last replica has started, not
- * 0.5 to 0.9 s (group test in virtual time).
+ * A replica that restarts can't know when it last had contact with a leader,
+ * so it refuses votes for one election timeout. Once every voter has reported
+ * that it doesn't lead, no lease can be valid: the candidate sends this as
+ * `quietTerm` in its vote request, and voters skip the wait.
  *
  * @internal
  */
 export const election = {
-  /** Picks the next time to start an election. */
+  /** Sets the election timer to a random time of one to two timeouts. */
   resetTimer(state: ReplicaState, at: ClockReading): void {
     const timeout = state.settings.electionTimeout;
     state.electionDueAt = at.now + timeout + state.random() * timeout;
   },
 
   /**
-   * Picks the next time to ask again after a pre-vote. It changes nothing at
-   * the others, so it may come much sooner than an election: a group that
-   * starts anew elects as soon as a quorum may vote.
+   * Schedules the next pre-vote. A pre-vote changes no state of the other
+   * replicas, so it may repeat much sooner than an election; a group that
+   * restarts then elects a leader as soon as a quorum may vote.
    */
   schedulePreVoteRetry(state: ReplicaState, at: ClockReading): void {
     const pause = state.settings.electionTimeout * PRE_VOTE_PAUSE_FRACTION;
     state.electionDueAt = at.now + pause + state.random() * pause;
   },
 
-  /** Starts a pre-vote when no leader was heard for long enough. */
+  /** Starts a pre-vote when the election timer has expired. */
   startPreVoteIfDue(state: ReplicaState, at: ClockReading): void {
     if (state.role === ReplicaRole.leader || at.now < state.electionDueAt) {
       return;
     }
-    // A wall clock that jumps moves `now` only; the promise to the leader,
-    // which its lease counts on, ends by the monotonic clock. Without a known
-    // leader a pre-vote may show that no promise is left to keep.
+    // A jump of the wall clock affects `now` only. The leader's lease relies
+    // on the time since the last contact as measured on the monotonic clock.
+    // Without a known leader, a pre-vote may show that no lease is valid.
     if (state.leader !== "" && hasRecentLeaderContact(state, at)) {
       return;
     }
@@ -80,13 +76,13 @@
     startPreVote(state, at);
   },
 
-  /** Picks the first pre-vote of a replica that starts. */
+  /** Schedules the first pre-vote after a replica has started. */
   scheduleFirstPreVote(state: ReplicaState, at: ClockReading): void {
     const pause = state.settings.electionTimeout * PRE_VOTE_PAUSE_FRACTION;
     state.electionDueAt = at.now + state.random() * pause;
   },
 
-  /** Starts a real election at once, on the leader's request. */
+  /** Starts an election without pre-vote, at the leader's request. */
   startTransferElection(state: ReplicaState, at: ClockReading): void {
     if (quorum.isVoter(state.members, state.settings.id)) {
       startElection(state, at, { transfer: true, quietTerm: NOT_LEADERLESS });
@@ -125,10 +121,10 @@
       onPreVoteReply(state, reply, at);
       return;
     }
-    const counts = state.role === ReplicaRole.candidate &&
+    const isGrantedVote = state.role === ReplicaRole.candidate &&
       !state.isPreVoting && !reply.pre && reply.term === state.term &&
       reply.granted;
-    if (!counts) {
+    if (!isGrantedVote) {
       return;
     }
     state.votes.add(reply.from);
@@ -137,7 +133,7 @@
     }
   },
 
-  /** Follows the leader that sent this, or says that it is out of date. */
+  /** Follows the sender and returns true unless its term is stale. */
   acceptLeader(
     state: ReplicaState,
     message: Append | SnapshotChunk,
@@ -194,9 +190,10 @@
   reply: VoteReply,
   at: ClockReading,
 ): void {
-  // One that knows newer members may know a leader that isn't asked here.
-  const knowsAll = reply.membersIndex <= state.membersIndex;
-  if (knowsAll && reply.upToDate && reply.quietTerm >= state.term) {
+  // A voter with a newer member list may know a leader that isn't in this
+  // replica's list.
+  const isMemberListCurrent = reply.membersIndex <= state.membersIndex;
+  if (isMemberListCurrent && reply.upToDate && reply.quietTerm >= state.term) {
     state.nonLeadingTerms.set(reply.from, reply.quietTerm);
   }
   if (reply.granted && reply.term === state.term + 1) {
@@ -205,11 +202,11 @@
   startElectionIfReady(state, at);
 }
 
-/** Asks for votes once a quorum would grant them, or nobody may refuse. */
+/** Starts an election once no voter leads or a quorum would grant its vote. */
 function startElectionIfReady(state: ReplicaState, at: ClockReading): void {
-  const quietTerm = findLeaderlessTerm(state);
-  if (quietTerm !== NOT_LEADERLESS) {
-    startElection(state, at, { transfer: false, quietTerm });
+  const leaderlessTerm = findLeaderlessTerm(state);
+  if (leaderlessTerm !== NOT_LEADERLESS) {
+    startElection(state, at, { transfer: false, quietTerm: leaderlessTerm });
     return;
   }
   const isGranted = quorum.hasMajority(
@@ -217,21 +214,21 @@
     (id) => state.votes.has(id),
   );
   if (isGranted && !hasRecentLeaderContact(state, at)) {
-    startElection(state, at, { transfer: false, quietTerm });
+    startElection(state, at, { transfer: false, quietTerm: leaderlessTerm });
   }
 }
 
-/** The term up to which all voters said that they lead nothing. */
+/** The term up to which all voters reported that they don't lead. */
 function findLeaderlessTerm(state: ReplicaState): number {
-  let quietTerm = Infinity;
+  let leaderlessTerm = Infinity;
   for (const { id } of quorum.voters(state.members)) {
-    quietTerm = Math.min(
-      quietTerm,
+    leaderlessTerm = Math.min(
+      leaderlessTerm,
       state.nonLeadingTerms.get(id) ?? NOT_LEADERLESS,
     );
   }
-  return quietTerm >= state.term && quietTerm < Infinity
-    ? quietTerm
+  return leaderlessTerm >= state.term && leaderlessTerm < Infinity
+    ? leaderlessTerm
     : NOT_LEADERLESS;
 }
 
@@ -280,7 +277,7 @@
   }
 }
 
-/** A replica that heard a leader lately keeps its promise to that leader. */
+/** Whether the term is stale or the lease of another leader may be valid. */
 function isVoteRefused(
   state: ReplicaState,
   request: VoteRequest,
@@ -295,9 +292,9 @@
   if (state.role === ReplicaRole.leader) {
     return true;
   }
-  // A promise is to a leader of this replica's term at the latest.
-  const isVoid = request.quietTerm >= state.term;
-  return hasRecentLeaderContact(state, at) && !isVoid;
+  // A leader that this replica had contact with has a term up to its own.
+  const isLeaderless = request.quietTerm >= state.term;
+  return hasRecentLeaderContact(state, at) && !isLeaderless;
 }
 
 function hasRecentLeaderContact(
@@ -339,7 +336,7 @@
   emit.sendAfterSync(state, request.from, reply);
 }
 
-/** The term up to which this replica doesn't and won't lead. */
+/** The term up to which this replica doesn't lead and won't start to. */
 function ownNonLeadingTerm(state: ReplicaState): number {
   if (state.role === ReplicaRole.leader) {
     return NOT_LEADERLESS;
--- a/packages/consensus/emit.ts
+++ b/packages/consensus/emit.ts
@@ -6,7 +6,7 @@
 import type { ReplicaState } from "./replica_state.ts";
 
 /**
- * Builds the effects of a replica.
+ * Adds effects to those that a replica returns for the current event.
  *
  * @internal
  */
@@ -32,19 +32,19 @@
     ]);
   },
 
-  /** Sends once everything persisted so far is on disk. */
+  /** Sends the message once all earlier persist effects are on disk. */
   sendAfterSync(
     state: ReplicaState,
     to: string,
     message: ConsensusMessage,
   ): void {
-    const after = state.unsyncedPersists.length === 0
+    const afterPersist = state.unsyncedPersists.length === 0
       ? 0
       : state.lastPersistNumber;
-    state.effects.push({ kind: "send", to, message, afterPersist: after });
+    state.effects.push({ kind: "send", to, message, afterPersist });
   },
 
-  /** Sends at once; for messages that promise nothing about this disk. */
+  /** Sends at once; only for messages that don't depend on this disk. */
   send(state: ReplicaState, to: string, message: ConsensusMessage): void {
     state.effects.push({ kind: "send", to, message, afterPersist: 0 });
   },
--- a/packages/consensus/fault_tolerance.ts
+++ b/packages/consensus/fault_tolerance.ts
@@ -1,19 +1,19 @@
 /**
- * How many replicas it takes to bear the loss of some at once. Everything that
- * counts replicas or copies takes its number from here.
+ * Numbers of replicas and copies that a number of simultaneous failures
+ * requires. All code that counts replicas or copies uses these functions.
  *
  * @public
  * @example
- * lossTolerance.voters(2); // 5
+ * faultTolerance.voters(2); // 5
  */
 export const faultTolerance = {
-  /** Voters of which the rest is a quorum after the losses. */
-  voters: (losses: number): number => 2 * losses + 1,
+  /** Voters required so that the remaining ones still form a quorum. */
+  voters: (failures: number): number => 2 * failures + 1,
 
-  /** Copies on disk of which one is left after the losses. */
-  copies: (losses: number): number => losses + 1,
+  /** Copies on disk required so that one remains. */
+  copies: (failures: number): number => failures + 1,
 
-  /** Losses that a number of voters bears. */
+  /** Failures after which the remaining voters still form a quorum. */
   toleratedFailures: (voters: number): number =>
     Math.max(0, Math.floor((voters - 1) / 2)),
 };
--- a/packages/consensus/fault_tolerance_target.ts
+++ b/packages/consensus/fault_tolerance_target.ts
@@ -1,8 +1,10 @@
-/** What may be lost at once while the group goes on; any one of the three. */
+/**
+ * Simultaneous failures that a group must survive: that many VMs, that many
+ * zones or that many regions, but not combinations of them.
+ */
 export type FaultToleranceTarget = {
-  /** VMs with a replica. */
+  /** VMs that run a replica. */
   readonly machines: number;
-  /** Availability zones. */
   readonly zones: number;
   readonly regions: number;
 };
--- a/packages/consensus/follower_progress.ts
+++ b/packages/consensus/follower_progress.ts
@@ -1,17 +1,17 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** What a leader knows of one other member. @internal */
+/** Replication state of another member, kept by the leader. @internal */
 export type FollowerProgress = {
   matchIndex: number;
   nextIndex: number;
-  /** Whether entries or a snapshot chunk are on their way. */
+  /** Whether entries or a snapshot chunk await a reply. */
   hasRequestInFlight: boolean;
   sentAt: Milliseconds;
   lastContactAt: Milliseconds;
-  /** Last heartbeat round the member answered. */
+  /** Last heartbeat round that the member has replied to. */
   round: number;
-  /** Characters of the present snapshot that the member has. */
+  /** Characters of the current snapshot that the member has received. */
   snapshotOffset: number;
-  /** Index of the snapshot being sent, 0 when none is. */
+  /** Last index of the snapshot being sent; 0 when none is. */
   snapshotIndex: number;
 };
--- a/packages/consensus/follower_role.ts
+++ b/packages/consensus/follower_role.ts
@@ -11,7 +11,7 @@
 import type { ReplicaState } from "./replica_state.ts";
 
 /**
- * What a follower does with entries and snapshots from its leader.
+ * Behavior of a follower: appends entries and installs snapshots of its leader.
  *
  * @internal
  */
@@ -25,16 +25,16 @@
       });
       return;
     }
-    const added = appendMissingEntries(state, message.entries);
-    if (added.length > 0) {
-      emit.persist(state, [{ kind: "entries", entries: added }]);
+    const appended = appendMissingEntries(state, message.entries);
+    if (appended.length > 0) {
+      emit.persist(state, [{ kind: "entries", entries: appended }]);
     }
     const matchIndex = message.previousIndex + message.entries.length;
     commitment.commitTo(state, Math.min(message.commit, matchIndex));
     sendAppendReply(state, message, { success: true, matchIndex });
   },
 
-  /** Answers a message of an old term, so that its sender steps down. */
+  /** Rejects a message of a stale term, so that its sender steps down. */
   rejectStaleTerm(state: ReplicaState, message: Append | SnapshotChunk): void {
     sendAppendReply(state, message, { success: false, matchIndex: 0 });
   },
@@ -44,16 +44,18 @@
       sendSnapshotReply(state, chunk, { offset: 0, done: true });
       return;
     }
-    const known = state.incomingSnapshot;
-    const fits = known !== undefined && known.lastIndex === chunk.lastIndex &&
-      known.lastTerm === chunk.lastTerm && known.data.length === chunk.offset;
-    if (!fits && chunk.offset !== 0) {
-      const same = known?.lastIndex === chunk.lastIndex;
-      const offset = same ? known!.data.length : 0;
+    const partial = state.incomingSnapshot;
+    const isNextChunk = partial !== undefined &&
+      partial.lastIndex === chunk.lastIndex &&
+      partial.lastTerm === chunk.lastTerm &&
+      partial.data.length === chunk.offset;
+    if (!isNextChunk && chunk.offset !== 0) {
+      const isSameSnapshot = partial?.lastIndex === chunk.lastIndex;
+      const offset = isSameSnapshot ? partial!.data.length : 0;
       sendSnapshotReply(state, chunk, { offset, done: false });
       return;
     }
-    const data = (fits ? known.data : "") + chunk.data;
+    const data = (isNextChunk ? partial.data : "") + chunk.data;
     state.incomingSnapshot = {
       lastIndex: chunk.lastIndex,
       lastTerm: chunk.lastTerm,
@@ -76,31 +78,31 @@
   return state.log.termAt(message.previousIndex) === message.previousTerm;
 }
 
-/** Appends what is missing, after dropping what contradicts the leader. */
+/** Drops entries that conflict with the leader's and appends missing ones. */
 function appendMissingEntries(
   state: ReplicaState,
   entries: readonly LogEntry[],
 ): LogEntry[] {
-  const added: LogEntry[] = [];
+  const appended: LogEntry[] = [];
   for (const entry of entries) {
     if (entry.index <= state.commitIndex) {
       continue;
     }
-    const present = state.log.termAt(entry.index);
-    if (present === entry.term) {
+    const localTerm = state.log.termAt(entry.index);
+    if (localTerm === entry.term) {
       continue;
     }
-    if (present !== undefined) {
+    if (localTerm !== undefined) {
       commitment.truncate(state, entry.index);
     }
     state.log.append(entry);
-    added.push(entry);
+    appended.push(entry);
     if (entry.kind === "members") {
       state.members = entry.payload as ReplicaMember[];
       state.membersIndex = entry.index;
     }
   }
-  return added;
+  return appended;
 }
 
 function installSnapshot(state: ReplicaState, snapshot: LogSnapshot): void {
--- a/packages/consensus/leader_role.ts
+++ b/packages/consensus/leader_role.ts
@@ -15,7 +15,8 @@
 import { replication } from "./replication.ts";
 
 /**
- * What a leader does: append, hear answers, confirm reads, keep its lease.
+ * Behavior of a leader: appends entries, processes replies, confirms reads and
+ * extends its lease.
  *
  * @internal
  */
@@ -26,7 +27,7 @@
     state.isPreVoting = false;
     state.leadership = createLeadership(state, at);
     emit.role(state);
-    // Nothing is known to be committed until an entry of this term is.
+    // Entries of earlier terms commit only once an entry of this term does.
     leaderRole.append(state, { kind: "noop", payload: null });
     replication.startHeartbeatRound(state, at);
   },
@@ -107,7 +108,7 @@
     replication.sendEntriesTo(state, reply.from, at);
   },
 
-  /** Heartbeats, the quorum check and repeated sends. */
+  /** Starts a heartbeat round when one is due. */
   tick(state: ReplicaState, at: ClockReading): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
@@ -119,27 +120,27 @@
     }
   },
 
-  /** Whether a leader has gone without its quorum for too long. */
+  /** Whether the leader has had no quorum for one election timeout. */
   hasLostQuorum(state: ReplicaState, at: ClockReading): boolean {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return false;
     }
-    const limit = at.now - state.settings.electionTimeout;
-    const hears = quorum.hasMajority(state.members, (id) => {
+    const oldestContactAt = at.now - state.settings.electionTimeout;
+    const hasQuorumContact = quorum.hasMajority(state.members, (id) => {
       const progress = leadership.progress.get(id);
       return id === state.settings.id ||
-        (progress !== undefined && progress.lastContactAt >= limit);
+        (progress !== undefined && progress.lastContactAt >= oldestContactAt);
     });
-    if (hears) {
+    if (hasQuorumContact) {
       leadership.lastQuorumContactAt = at.now;
     }
-    return leadership.lastQuorumContactAt < limit;
+    return leadership.lastQuorumContactAt < oldestContactAt;
   },
 
   /**
-   * Whether a transfer came to nothing. The request for it may still be on
-   * its way, so the lease of this term can't be taken up again.
+   * Whether a leadership transfer timed out. Its message may still be in
+   * transit, so the lease of this term can't be resumed.
    */
   hasFailedTransfer(state: ReplicaState, at: ClockReading): boolean {
     const leadership = state.leadership;
@@ -153,18 +154,18 @@
       emit.reject(state, token, "not_leader");
       return;
     }
-    const waiting = leadership.pendingReads.some((read) =>
+    const hasUnsentReads = leadership.pendingReads.some((read) =>
       read.round > leadership.round
     );
-    const idle = leadership.confirmedRound === leadership.round;
+    const isRoundConfirmed = leadership.confirmedRound === leadership.round;
     leadership.pendingReads.push({ token, round: leadership.round + 1 });
-    if (idle && !waiting) {
+    if (isRoundConfirmed && !hasUnsentReads) {
       replication.startHeartbeatRound(state, at);
       leaderRole.confirmRounds(state, at);
     }
   },
 
-  /** Extends the lease and answers reads whose round a quorum confirmed. */
+  /** Extends the lease and completes reads whose round a quorum confirmed. */
   confirmRounds(state: ReplicaState, at: ClockReading): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
@@ -180,10 +181,10 @@
       extendLease(state, leadership, confirmed);
     }
     completeReads(state, leadership);
-    const waiting = leadership.pendingReads.some((read) =>
+    const hasUnsentReads = leadership.pendingReads.some((read) =>
       read.round > leadership.round
     );
-    if (waiting && leadership.confirmedRound === leadership.round) {
+    if (hasUnsentReads && leadership.confirmedRound === leadership.round) {
       replication.startHeartbeatRound(state, at);
     }
   },
@@ -242,10 +243,10 @@
     return;
   }
   const { electionTimeout, clockDrift } = state.settings;
-  // Followers count their promise from a later moment and at worst with a
-  // clock that runs faster by the drift bound.
-  const until = sentAt + electionTimeout * (1 - clockDrift);
-  leadership.leaseUntil = Math.max(leadership.leaseUntil, until);
+  // Followers refuse votes from a later moment on, measured by a clock that
+  // may run faster by up to the drift bound.
+  const leaseUntil = sentAt + electionTimeout * (1 - clockDrift);
+  leadership.leaseUntil = Math.max(leadership.leaseUntil, leaseUntil);
 }
 
 function completeReads(state: ReplicaState, leadership: Leadership): void {
--- a/packages/consensus/leadership.ts
+++ b/packages/consensus/leadership.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { FollowerProgress } from "./follower_progress.ts";
 
-/** State that exists only while a replica leads. @internal */
+/** State that a replica has only while it leads. @internal */
 export type Leadership = {
   readonly progress: Map<string, FollowerProgress>;
   /** Number of the last heartbeat round. */
@@ -12,10 +12,10 @@
   nextHeartbeatAt: Milliseconds;
   lastQuorumContactAt: Milliseconds;
   leaseUntil: Milliseconds;
-  /** Set once leadership is being given away; the lease is void from then. */
+  /** Set once a leadership transfer starts; the lease is invalid from then. */
   isTransferring: boolean;
   transferStartedAt: Milliseconds;
-  /** Index of the entry of this term that must commit before reads. */
+  /** Index of the first entry of this term; reads wait for its commit. */
   readonly termStartIndex: number;
   readonly pendingReads: { readonly token: string; readonly round: number }[];
 };
--- a/packages/consensus/mod.ts
+++ b/packages/consensus/mod.ts
@@ -1,6 +1,6 @@
 /**
- * A replicated log as a state machine without I/O: elections, leases,
- * confirmed reads, member changes, snapshots.
+ * A replicated log (Raft) as a state machine without I/O: elections, leader
+ * leases, linearizable reads, membership changes, snapshots.
  *
  * @module
  */
--- a/packages/consensus/plan_membership_change.ts
+++ b/packages/consensus/plan_membership_change.ts
@@ -1,103 +1,112 @@
 import type { ReplicaMember } from "@heroncleat/schema";
 
-/** What a leader knows of members beside the list of them. */
+/** What a leader knows about the members beyond their list. */
 type MembershipStatus = {
-  /** Identity of the leader, which neither goes nor stops voting. */
+  /** Disk identity of the leader, which is neither removed nor demoted. */
   readonly self: string;
-  /** Members that are to vote: 2n + 1 bear the loss of n at once. */
+  /** Target number of voters: 2n + 1 tolerate n simultaneous failures. */
   readonly wantedVoters: number;
-  /** Whether a member holds nearly all that is committed. */
+  /** Whether a member has nearly all committed entries. */
   readonly hasCaughtUp: (id: string) => boolean;
-  /** Whether a member has been silent for so long that it may be replaced. */
+  /** Whether a member has been unresponsive for long enough to be replaced. */
   readonly isLost: (id: string) => boolean;
 };
 
 /**
- * The next single step of keeping a group whole, or nothing when none is due;
- * the leader asks again after each.
+ * Plans the next single membership change that brings a group towards its
+ * target number of voters; the leader calls it again after each change.
  *
- * Just as many members vote as are wanted, and the others stand by as learners.
- * A voter that is gone leaves as soon as a learner that has caught up can take
- * its place, whichever came first: a successor that voted beside the one it
- * replaces would raise the quorum for good. An even number of voters bears no
- * more losses than one less, and in two halves neither has a quorum.
+ * Members beyond the target number of voters are standby learners. A lost voter
+ * is removed once a learner that has caught up can replace it, and before that
+ * learner is promoted: promoting first would raise the quorum size. An even
+ * number of voters tolerates no more failures than one fewer, and has no quorum
+ * on either side of an even partition.
  *
- * A voter that nobody can replace stays, as it may come back.
+ * A lost voter that can't be replaced stays, as it may return.
+ *
+ * @returns The new member list; undefined when no change is due.
  *
  * @public
  * @example
- * const next = planMembers(members, { self, wantedVoters: 3, hasCaughtUp, isLost });
+ * const next = planMembershipChange(members, {
+ *   self,
+ *   wantedVoters: 3,
+ *   hasCaughtUp,
+ *   isLost,
+ * });
  */
 export function planMembershipChange(
   members: readonly ReplicaMember[],
-  knowledge: MembershipStatus,
+  status: MembershipStatus,
 ): ReplicaMember[] | undefined {
-  const { self, wantedVoters } = knowledge;
-  const isGone = (member: ReplicaMember) =>
+  const { self, wantedVoters } = status;
+  const isRemovable = (member: ReplicaMember) =>
     member.id !== self &&
-    (hasSuccessor(members, member) || knowledge.isLost(member.id));
-  const goneLearner = members.find((member) => !member.voter && isGone(member));
-  if (goneLearner !== undefined) {
-    return without(members, goneLearner);
+    (isReplaced(members, member) || status.isLost(member.id));
+  const removableLearner = members.find((member) =>
+    !member.voter && isRemovable(member)
+  );
+  if (removableLearner !== undefined) {
+    return withoutMember(members, removableLearner);
   }
   const voters = members.filter(({ voter }) => voter);
-  const gone = voters.find(isGone);
-  const standby = findStandby(members, knowledge);
-  if (gone !== undefined) {
-    const isSpare = voters.length > wantedVoters;
-    return standby !== undefined || isSpare
-      ? without(members, gone)
+  const removableVoter = voters.find(isRemovable);
+  const standby = findStandby(members, status);
+  if (removableVoter !== undefined) {
+    const hasSpareVoter = voters.length > wantedVoters;
+    return standby !== undefined || hasSpareVoter
+      ? withoutMember(members, removableVoter)
       : undefined;
   }
   if (voters.length < wantedVoters && standby !== undefined) {
-    return withVote(members, standby, true);
+    return withVoter(members, standby, true);
   }
-  const surplus = voters.findLast(({ id }) => id !== self);
-  if (voters.length > wantedVoters && surplus !== undefined) {
-    return withVote(members, surplus, false);
+  const surplusVoter = voters.findLast(({ id }) => id !== self);
+  if (voters.length > wantedVoters && surplusVoter !== undefined) {
+    return withVoter(members, surplusVoter, false);
   }
   return undefined;
 }
 
-/** Whether the VM of a member has lost its disk and came with a new one. */
-function hasSuccessor(
+/** Whether the VM of a member has joined again with a new disk. */
+function isReplaced(
   members: readonly ReplicaMember[],
   member: ReplicaMember,
 ): boolean {
-  const place = members.indexOf(member);
-  return members.slice(place + 1).some(({ name }) => name === member.name);
+  const position = members.indexOf(member);
+  return members.slice(position + 1).some(({ name }) => name === member.name);
 }
 
-/** A learner that can vote, best in the zone with the fewest sound voters. */
+/** The promotable learner whose zone has the fewest responsive voters. */
 function findStandby(
   members: readonly ReplicaMember[],
-  knowledge: MembershipStatus,
+  status: MembershipStatus,
 ): ReplicaMember | undefined {
-  const sound = members.filter(({ id, voter }) =>
-    voter && !knowledge.isLost(id)
+  const responsiveVoters = members.filter(({ id, voter }) =>
+    voter && !status.isLost(id)
   );
-  const votersBeside = ({ zone }: ReplicaMember) =>
-    sound.filter((voter) => voter.zone === zone).length;
+  const countZoneVoters = ({ zone }: ReplicaMember) =>
+    responsiveVoters.filter((voter) => voter.zone === zone).length;
   let best: ReplicaMember | undefined;
   for (const member of members) {
-    if (member.voter || !knowledge.hasCaughtUp(member.id)) {
+    if (member.voter || !status.hasCaughtUp(member.id)) {
       continue;
     }
-    if (best === undefined || votersBeside(member) < votersBeside(best)) {
+    if (best === undefined || countZoneVoters(member) < countZoneVoters(best)) {
       best = member;
     }
   }
   return best;
 }
 
-function without(
+function withoutMember(
   members: readonly ReplicaMember[],
-  gone: ReplicaMember,
+  removed: ReplicaMember,
 ): ReplicaMember[] {
-  return members.filter((member) => member !== gone);
+  return members.filter((member) => member !== removed);
 }
 
-function withVote(
+function withVoter(
   members: readonly ReplicaMember[],
   chosen: ReplicaMember,
   voter: boolean,
--- a/packages/consensus/quorum.ts
+++ b/packages/consensus/quorum.ts
@@ -1,7 +1,7 @@
 import type { ReplicaMember } from "@heroncleat/schema";
 
 /**
- * Counting among voters.
+ * Majorities of the voters.
  *
  * @internal
  */
@@ -17,11 +17,11 @@
   /** Whether the predicate holds for a majority of voters. */
   hasMajority(
     members: readonly ReplicaMember[],
-    holds: (id: string) => boolean,
+    predicate: (id: string) => boolean,
   ): boolean {
     const voters = quorum.voters(members);
-    const holding = voters.filter((member) => holds(member.id)).length;
-    return holding > voters.length / 2;
+    const matching = voters.filter((member) => predicate(member.id)).length;
+    return matching > voters.length / 2;
   },
 
   /** The largest value that a majority of voters has reached. */
--- a/packages/consensus/replica.ts
+++ b/packages/consensus/replica.ts
@@ -21,10 +21,11 @@
 import type { StoredReplica } from "./stored_replica.ts";
 
 /**
- * One member of a replicated log, after Raft (Ongaro and Ousterhout, 2014),
- * with pre-vote, a quorum check, leases, confirmed reads, learners, single
- * member changes and chunked snapshots. It does no I/O: `handle` takes an
- * event and returns what its owner must do.
+ * One member of a replicated log, based on Raft (Ongaro and Ousterhout, 2014)
+ * with pre-vote, quorum checks, leader leases, linearizable reads (read index),
+ * learners, single-server membership changes and chunked snapshots. It does no
+ * I/O: `handle` takes an event and returns the effects for its owner to carry
+ * out.
  *
  * @public
  * @example
@@ -74,8 +75,8 @@
   }
 
   /**
-   * The end of the leader's lease on the `now` clock, 0 without one. Check it
-   * at the last step before bytes leave.
+   * End of the leader lease on the `now` clock; 0 without a lease. Check it
+   * immediately before sending anything that depends on it.
    */
   get leaseUntil(): Milliseconds {
     const leadership = this.#state.leadership;
@@ -86,12 +87,12 @@
     return ready ? leadership.leaseUntil : 0;
   }
 
-  /** How far a member holds the log, as its leader knows it. */
+  /** Last log index that a member is known to have; 0 unless leading. */
   matchIndexOf(id: string): number {
     return this.#state.leadership?.progress.get(id)?.matchIndex ?? 0;
   }
 
-  /** When its leader last heard a member, on the `now` clock. */
+  /** Last reply of a member, on the `now` clock; Infinity unless leading. */
   lastContactAt(id: string): Milliseconds {
     return this.#state.leadership?.progress.get(id)?.lastContactAt ?? Infinity;
   }
@@ -134,9 +135,9 @@
 }
 
 function onTick(state: ReplicaState, at: ClockReading): void {
-  const steppingDown = leaderRole.hasLostQuorum(state, at) ||
+  const mustStepDown = leaderRole.hasLostQuorum(state, at) ||
     leaderRole.hasFailedTransfer(state, at);
-  if (steppingDown) {
+  if (mustStepDown) {
     election.becomeFollower(state, state.term, "", at);
     return;
   }
@@ -249,7 +250,7 @@
   replication.startHeartbeatRound(state, at);
 }
 
-/** Two majorities meet only when voters change one at a time. */
+/** Majorities surely overlap only if at most one voter changes at a time. */
 function countChangedVoters(
   state: ReplicaState,
   members: readonly ReplicaMember[],
@@ -270,9 +271,9 @@
   event: { index: number; data: string },
 ): void {
   const term = state.log.termAt(event.index);
-  const stale = event.index <= state.snapshot.lastIndex ||
+  const isStale = event.index <= state.snapshot.lastIndex ||
     event.index > state.appliedIndex || term === undefined;
-  if (stale) {
+  if (isStale) {
     return;
   }
   const snapshot: LogSnapshot = {
@@ -294,10 +295,10 @@
   ], snapshot);
 }
 
-/** Member list as of a log index that is still in memory. */
+/** Member list as of a log index that is not yet compacted. */
 function membersAt(state: ReplicaState, index: number): ReplicaMember[] {
-  for (let at = index; at > state.log.baseIndex; at -= 1) {
-    const entry = state.log.entryAt(at);
+  for (let current = index; current > state.log.baseIndex; current -= 1) {
+    const entry = state.log.entryAt(current);
     if (entry?.kind === "members") {
       return entry.payload as ReplicaMember[];
     }
@@ -305,7 +306,7 @@
   return [...state.snapshot.members];
 }
 
-/** Gives leadership to the member that holds most of the log. */
+/** Transfers leadership to the voter with the most complete log. */
 function transferLeadership(state: ReplicaState, at: ClockReading): void {
   const leadership = state.leadership;
   if (leadership === undefined) {
@@ -320,25 +321,25 @@
       matchIndex: leadership.progress.get(member.id)?.matchIndex ?? 0,
     }))
     .sort((left, right) => right.matchIndex - left.matchIndex);
-  const best = candidates[0];
-  if (best === undefined) {
+  const successor = candidates[0];
+  if (successor === undefined) {
     return;
   }
-  replication.sendEntriesTo(state, best.id, at);
-  emit.send(state, best.id, {
+  replication.sendEntriesTo(state, successor.id, at);
+  emit.send(state, successor.id, {
     kind: "transfer",
     term: state.term,
     from: state.settings.id,
   });
 }
 
-/** A leader that is no longer a member leads until its removal commits. */
+/** A leader that is no longer a voter leads until its removal commits. */
 function stepDownWhenRemoved(state: ReplicaState, at: ClockReading): void {
-  const removed = state.leadership !== undefined &&
+  const isRemoved = state.leadership !== undefined &&
     !state.members.some((member) =>
       member.voter && member.id === state.settings.id
     ) && state.membersIndex <= state.commitIndex;
-  if (removed) {
+  if (isRemoved) {
     election.becomeFollower(state, state.term, "", at);
   }
 }
--- a/packages/consensus/replica_effect.ts
+++ b/packages/consensus/replica_effect.ts
@@ -7,8 +7,9 @@
 import type { ReplicaRole } from "./replica_role.ts";
 
 /**
- * What the owner of a replica must do, in the order given. A message with
- * `after` leaves only once the persist effect of that number is on disk.
+ * Actions that the owner of a replica must carry out in the given order. A
+ * message must not be sent before the persist effect with the number
+ * `afterPersist` is on disk; 0 means no wait.
  *
  * @public
  */
@@ -17,7 +18,7 @@
     readonly kind: "persist";
     readonly number: number;
     readonly records: readonly JournalRecord[];
-    /** When present, the journal starts anew behind this snapshot. */
+    /** When present, it and `records` replace the journal. */
     readonly snapshot?: LogSnapshot;
   }
   | {
@@ -37,7 +38,7 @@
     readonly kind: "rejected";
     readonly token: string;
     readonly reason: "not_leader" | "superseded" | "members_busy";
-    /** Disk identity of the leader, empty when none is known. */
+    /** Disk identity of the leader; empty when none is known. */
     readonly leader: string;
   }
   | {
--- a/packages/consensus/replica_event.ts
+++ b/packages/consensus/replica_event.ts
@@ -1,6 +1,6 @@
 import type { ConsensusMessage, ReplicaMember } from "@heroncleat/schema";
 
-/** What a replica reacts to. Tokens are the caller's own. @public */
+/** Inputs of a replica. The caller chooses the tokens. @public */
 export type ReplicaEvent =
   | { readonly kind: "tick" }
   | { readonly kind: "message"; readonly message: ConsensusMessage }
--- a/packages/consensus/replica_role.ts
+++ b/packages/consensus/replica_role.ts
@@ -1,4 +1,4 @@
-/** Roles of a replica. @public */
+/** @public */
 export const ReplicaRole = {
   follower: "follower",
   candidate: "candidate",
--- a/packages/consensus/replica_settings.ts
+++ b/packages/consensus/replica_settings.ts
@@ -1,21 +1,20 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { ReplicaMember } from "@heroncleat/schema";
 
-/** Settings of one replica. @public */
+/** @public */
 export type ReplicaSettings = {
   /** Disk identity of this replica. */
   readonly id: string;
-  /** Members the group was formed with, used until the log names others. */
+  /** Initial members, used until the log contains a member list. */
   readonly founders: readonly ReplicaMember[];
   readonly heartbeatInterval: Milliseconds;
-  /** Shortest time without a leader before an election. */
+  /** Minimum time without contact with a leader before an election. */
   readonly electionTimeout: Milliseconds;
-  /** Largest relative difference between the rates of two clocks. */
+  /** Maximum relative difference between the rates of two clocks. */
   readonly clockDrift: number;
-  /** Characters in one snapshot chunk. */
+  /** In characters. */
   readonly snapshotChunkLength: number;
-  /** Entries in one append. */
   readonly maxAppendEntries: number;
-  /** Entries kept behind a snapshot, so that a slow member needs none. */
+  /** Entries kept before the last index of a snapshot, for slow members. */
   readonly trailingEntries: number;
 };
--- a/packages/consensus/replica_state.ts
+++ b/packages/consensus/replica_state.ts
@@ -6,7 +6,7 @@
 import type { ReplicaSettings } from "./replica_settings.ts";
 import type { ReplicatedLog } from "./replicated_log.ts";
 
-/** The whole state of a replica, shared by the modules of this package. @internal */
+/** State of a replica, shared by the modules of this package. @internal */
 export type ReplicaState = {
   readonly settings: ReplicaSettings;
   readonly random: Random;
@@ -18,22 +18,22 @@
   members: readonly ReplicaMember[];
   /** Index of the entry that set `members`. */
   membersIndex: number;
-  /** Members as of the last snapshot, for truncated member changes. */
+  /** Last snapshot; its members apply when later changes are truncated. */
   snapshot: LogSnapshot;
   commitIndex: number;
   appliedIndex: number;
   electionDueAt: Milliseconds;
-  /** Last contact from a leader, on the `steady` clock. */
+  /** Time of the last message from a leader, on the `steady` clock. */
   lastLeaderContactAt: Milliseconds;
   isPreVoting: boolean;
   votes: Set<string>;
-  /** Voters that said in this pre-vote up to which term they lead nothing. */
+  /** Terms up to which voters reported in this pre-vote that they don't lead. */
   nonLeadingTerms: Map<string, number>;
   leadership: Leadership | undefined;
-  /** Tokens of proposals by log index. */
+  /** Proposals by log index. */
   readonly pendingProposals: Map<number, { token: string; term: number }>;
   lastPersistNumber: number;
-  /** Last log index that each unsynced persist effect covers. */
+  /** Persist effects not yet on disk, with the last log index of each. */
   readonly unsyncedPersists: { number: number; lastIndex: number }[];
   /** Last log index known to be on this disk. */
   durableIndex: number;
--- a/packages/consensus/replica_test.ts
+++ b/packages/consensus/replica_test.ts
@@ -8,50 +8,50 @@
 import * as fc from "fast-check";
 import { Replica, type ReplicaEffect, type ReplicaEvent } from "./mod.ts";
 
-const ELECTION_TIMEOUT = 300;
-const DRIFT = 0.05;
-const RUNS = Number(process.env["FUZZ_RUNS"] ?? 1) * 60;
+const ELECTION_TIMEOUT_MS = 300;
+const CLOCK_DRIFT = 0.05;
+const PROPERTY_RUNS = Number(process.env["FUZZ_RUNS"] ?? 1) * 60;
 
 /** One replica with its disk and its clock. */
 type Node = {
   readonly member: ReplicaMember;
   readonly rate: number;
-  jump: number;
+  clockOffset: number;
   replica: Replica | undefined;
   stored: { snapshot: LogSnapshot | undefined; records: JournalRecord[] };
   unsynced: Extract<ReplicaEffect, { kind: "persist" }>[];
-  heldBack: Extract<ReplicaEffect, { kind: "send" }>[];
-  durable: number;
-  /** Commands applied, by log index; the oracle's view of this replica. */
+  heldSends: Extract<ReplicaEffect, { kind: "send" }>[];
+  durablePersist: number;
+  /** Applied entries as JSON, in log order. */
   applied: string[];
 };
 
 type Packet = { to: string; from: string; message: ConsensusMessage };
 
-/** A group in one process: virtual time, a bag of messages, disks. */
+/** A group in one process with simulated time, messages and disks. */
 class SimulatedGroup {
   readonly nodes = new Map<string, Node>();
   readonly packets: Packet[] = [];
-  readonly cut = new Set<string>();
+  readonly isolated = new Set<string>();
   readonly leaders = new Map<number, string>();
   readonly committed = new Map<number, string>();
   readonly acknowledged = new Set<string>();
-  readonly readFloors = new Map<string, number>();
+  readonly minReadIndexes = new Map<string, number>();
   readonly founders: ReplicaMember[];
-  answeredReads = 0;
+  completedReads = 0;
   time = 0;
-  proposals = 0;
+  proposalCount = 0;
 
   constructor(size: number, readonly seed: number) {
-    this.founders = Array.from({ length: size }, (_, place) => ({
-      id: `n${place}`,
-      name: `r${place}`,
+    this.founders = Array.from({ length: size }, (_, index) => ({
+      id: `n${index}`,
+      name: `r${index}`,
       address: "",
-      zone: `z${place}`,
+      zone: `z${index}`,
       voter: true,
     }));
-    for (const [place, member] of this.founders.entries()) {
-      this.add(member, 1 + DRIFT / 2 * (place % 2 === 0 ? 1 : -1) * 0.9);
+    for (const [index, member] of this.founders.entries()) {
+      this.add(member, 1 + CLOCK_DRIFT / 2 * (index % 2 === 0 ? 1 : -1) * 0.9);
     }
   }
 
@@ -59,12 +59,12 @@
     const node: Node = {
       member,
       rate,
-      jump: 0,
+      clockOffset: 0,
       replica: undefined,
       stored: { snapshot: undefined, records: [] },
       unsynced: [],
-      heldBack: [],
-      durable: 0,
+      heldSends: [],
+      durablePersist: 0,
       applied: [],
     };
     this.nodes.set(member.id, node);
@@ -73,8 +73,8 @@
 
   start(node: Node): void {
     node.unsynced = [];
-    node.heldBack = [];
-    node.durable = 0;
+    node.heldSends = [];
+    node.durablePersist = 0;
     node.applied = node.stored.snapshot === undefined
       ? []
       : JSON.parse(node.stored.snapshot.data);
@@ -82,13 +82,13 @@
       id: node.member.id,
       founders: this.founders,
       heartbeatInterval: 50,
-      electionTimeout: ELECTION_TIMEOUT,
-      clockDrift: DRIFT,
+      electionTimeout: ELECTION_TIMEOUT_MS,
+      clockDrift: CLOCK_DRIFT,
       snapshotChunkLength: 512,
       maxAppendEntries: 8,
       trailingEntries: 3,
     }, {
-      // Replicas that start in the same moment must not draw the same numbers.
+      // Replicas that start at the same time need different random seeds.
       random: createSeededRandom(
         this.seed + this.time + 7919 * [...this.nodes.values()].indexOf(node),
       ),
@@ -99,26 +99,26 @@
 
   at(node: Node): { now: number; steady: number } {
     const steady = this.time * node.rate;
-    return { now: steady + node.jump, steady };
+    return { now: steady + node.clockOffset, steady };
   }
 
-  drive(node: Node, event: ReplicaEvent): void {
+  handleEvent(node: Node, event: ReplicaEvent): void {
     if (node.replica === undefined) {
       return;
     }
     for (const effect of node.replica.handle(event, this.at(node))) {
-      this.carryOut(node, effect);
+      this.applyEffect(node, effect);
     }
   }
 
-  carryOut(node: Node, effect: ReplicaEffect): void {
+  applyEffect(node: Node, effect: ReplicaEffect): void {
     switch (effect.kind) {
       case "persist":
         node.unsynced.push(effect);
         return;
       case "send":
-        if (effect.afterPersist > node.durable) {
-          node.heldBack.push(effect);
+        if (effect.afterPersist > node.durablePersist) {
+          node.heldSends.push(effect);
         } else {
           this.packets.push({
             to: effect.to,
@@ -137,15 +137,15 @@
         this.acknowledged.add(effect.token);
         return;
       case "read_ready": {
-        const floor = this.readFloors.get(effect.token) ?? 0;
-        expect(effect.index).toBeGreaterThanOrEqual(floor);
-        this.answeredReads += 1;
+        const minIndex = this.minReadIndexes.get(effect.token) ?? 0;
+        expect(effect.index).toBeGreaterThanOrEqual(minIndex);
+        this.completedReads += 1;
         return;
       }
       case "role":
         if (effect.role === "leader") {
-          const known = this.leaders.get(effect.term);
-          expect(known ?? node.member.id).toBe(node.member.id);
+          const knownLeader = this.leaders.get(effect.term);
+          expect(knownLeader ?? node.member.id).toBe(node.member.id);
           this.leaders.set(effect.term, node.member.id);
         }
         return;
@@ -162,7 +162,7 @@
     node.applied.push(text);
   }
 
-  /** Syncs the disk of a node: all that waits becomes durable. */
+  /** Syncs a node's disk, then sends the messages that waited for it. */
   sync(node: Node): void {
     const batch = node.unsynced;
     node.unsynced = [];
@@ -174,55 +174,59 @@
         };
       }
       node.stored.records.push(...structuredClone(persist.records));
-      node.durable = persist.number;
+      node.durablePersist = persist.number;
     }
-    const ready = node.heldBack.filter((send) =>
-      send.afterPersist <= node.durable
+    const ready = node.heldSends.filter((send) =>
+      send.afterPersist <= node.durablePersist
     );
-    node.heldBack = node.heldBack.filter((send) =>
-      send.afterPersist > node.durable
+    node.heldSends = node.heldSends.filter((send) =>
+      send.afterPersist > node.durablePersist
     );
     for (const send of ready) {
-      this.carryOut(node, send);
+      this.applyEffect(node, send);
     }
     if (batch.length > 0) {
-      this.drive(node, { kind: "persisted", number: node.durable });
+      this.handleEvent(node, {
+        kind: "persisted",
+        number: node.durablePersist,
+      });
     }
   }
 
-  deliver(place: number): void {
-    const [packet] = this.packets.splice(place % this.packets.length, 1);
+  deliver(index: number): void {
+    const [packet] = this.packets.splice(index % this.packets.length, 1);
     if (packet === undefined) {
       return;
     }
     const node = this.nodes.get(packet.to);
-    const blocked = this.cut.has(packet.to) !== this.cut.has(packet.from);
+    const blocked =
+      this.isolated.has(packet.to) !== this.isolated.has(packet.from);
     if (node !== undefined && !blocked) {
-      this.drive(node, { kind: "message", message: packet.message });
+      this.handleEvent(node, { kind: "message", message: packet.message });
     }
   }
 
   propose(node: Node): void {
-    this.proposals += 1;
-    const token = `p${this.proposals}`;
-    this.drive(node, { kind: "propose", token, command: token });
+    this.proposalCount += 1;
+    const token = `p${this.proposalCount}`;
+    this.handleEvent(node, { kind: "propose", token, command: token });
   }
 
   read(node: Node): void {
-    const token = `r${this.readFloors.size}`;
-    this.readFloors.set(token, Math.max(0, ...this.committed.keys()));
-    this.drive(node, { kind: "read", token });
+    const token = `r${this.minReadIndexes.size}`;
+    this.minReadIndexes.set(token, Math.max(0, ...this.committed.keys()));
+    this.handleEvent(node, { kind: "read", token });
   }
 
   snapshot(node: Node): void {
     const index = node.replica?.appliedIndex ?? 0;
     if (node.replica !== undefined) {
       const data = JSON.stringify(node.applied);
-      this.drive(node, { kind: "snapshot_taken", index, data });
+      this.handleEvent(node, { kind: "snapshot_taken", index, data });
     }
   }
 
-  /** At most one leader may believe in its lease at a time. */
+  /** Checks that at most one replica holds a valid lease. */
   checkLeases(): void {
     const holders = [...this.nodes.values()].filter((node) =>
       node.replica !== undefined &&
@@ -231,13 +235,13 @@
     expect(holders.length).toBeLessThanOrEqual(1);
   }
 
-  /** Lets time pass with everything delivered and synced in order. */
-  settle(milliseconds: number): void {
+  /** Advances the time, delivers all messages and syncs all disks in order. */
+  advance(milliseconds: number): void {
     const until = this.time + milliseconds;
     while (this.time < until) {
       this.time += 10;
       for (const node of this.nodes.values()) {
-        this.drive(node, { kind: "tick" });
+        this.handleEvent(node, { kind: "tick" });
         this.sync(node);
       }
       for (let left = this.packets.length; left > 0; left -= 1) {
@@ -256,7 +260,7 @@
     );
   }
 
-  /** Every acknowledged command is in the committed log. */
+  /** Checks that every acknowledged command is in the committed log. */
   checkAcknowledged(): void {
     const commands = new Set(
       [...this.committed.values()].map((text) => JSON.parse(text).payload),
@@ -267,16 +271,16 @@
   }
 }
 
-/** Carries out one random step, chosen by three numbers. */
-function takeStep(group: SimulatedGroup, step: readonly number[]): void {
-  const [kind = 0, who = 0, detail = 0] = step;
+/** Runs one step of a random schedule, encoded as three numbers. */
+function runStep(group: SimulatedGroup, step: readonly number[]): void {
+  const [kind = 0, nodeIndex = 0, detail = 0] = step;
   const nodes = [...group.nodes.values()];
-  const node = nodes[who % nodes.length]!;
+  const node = nodes[nodeIndex % nodes.length]!;
   switch (kind) {
     case 0:
       group.time += detail % 120;
       for (const each of nodes) {
-        group.drive(each, { kind: "tick" });
+        group.handleEvent(each, { kind: "tick" });
       }
       return;
     case 1:
@@ -306,24 +310,24 @@
       group.read(group.leader ?? node);
       return;
     case 10:
-      // A crash loses what was not synced.
+      // A crash loses unsynced writes.
       node.replica = undefined;
       group.start(node);
       return;
     case 11:
-      group.cut.clear();
+      group.isolated.clear();
       if (detail % 2 === 0) {
-        group.cut.add(node.member.id);
+        group.isolated.add(node.member.id);
       }
       return;
     case 12:
       group.snapshot(node);
       return;
     case 13:
-      node.jump += detail % 400;
+      node.clockOffset += detail % 400;
       return;
     case 14:
-      group.drive(node, { kind: "step_down" });
+      group.handleEvent(node, { kind: "step_down" });
       return;
     case 15:
       for (const each of nodes) {
@@ -332,7 +336,7 @@
       }
       return;
     default:
-      group.settle(20 + detail % 100);
+      group.advance(20 + detail % 100);
   }
 }
 
@@ -341,166 +345,171 @@
   { minLength: 150, maxLength: 400 },
 );
 
-describe("a replicated log", () => {
-  test("stays one log under drops, reorders, crashes, cuts and jumps", () => {
-    let taken = 0;
-    let answered = 0;
+describe("replicated log", () => {
+  test("stays consistent under message loss, reordering, crashes, partitions and clock jumps", () => {
+    let stepCount = 0;
+    let readCount = 0;
     fc.assert(
       fc.property(steps, fc.constantFrom(3, 5), (schedule, size) => {
         const group = new SimulatedGroup(size, 7);
-        group.settle(1000);
+        group.advance(1000);
         for (const step of schedule) {
-          takeStep(group, step);
+          runStep(group, step);
           group.checkLeases();
         }
-        group.cut.clear();
-        group.settle(5000);
+        group.isolated.clear();
+        group.advance(5000);
         expect(group.leader).toBeDefined();
         group.propose(group.leader!);
-        group.settle(500);
+        group.advance(500);
         group.checkAcknowledged();
-        expect(group.acknowledged).toContain(`p${group.proposals}`);
-        taken += schedule.length;
-        answered += group.answeredReads;
+        expect(group.acknowledged).toContain(`p${group.proposalCount}`);
+        stepCount += schedule.length;
+        readCount += group.completedReads;
       }),
-      { numRuns: RUNS, seed: 20261202 },
+      { numRuns: PROPERTY_RUNS, seed: 20261202 },
     );
-    expect(taken).toBeGreaterThan(10_000);
-    expect(answered).toBeGreaterThan(100);
+    expect(stepCount).toBeGreaterThan(10_000);
+    expect(readCount).toBeGreaterThan(100);
   });
 
-  test("elects again within two timeouts and loses nothing", () => {
+  test("elects a new leader within two timeouts after a crash and keeps acknowledged commands", () => {
     const group = new SimulatedGroup(3, 1);
-    group.settle(1000);
-    const old = group.leader!;
-    group.propose(old);
-    group.settle(100);
-    old.replica = undefined;
-    group.settle(2 * ELECTION_TIMEOUT + 200);
+    group.advance(1000);
+    const oldLeader = group.leader!;
+    group.propose(oldLeader);
+    group.advance(100);
+    oldLeader.replica = undefined;
+    group.advance(2 * ELECTION_TIMEOUT_MS + 200);
     expect(group.leader).toBeDefined();
-    expect(group.leader).not.toBe(old);
+    expect(group.leader).not.toBe(oldLeader);
     group.checkAcknowledged();
   });
 
-  test("elects as soon as a quorum may vote after all lost power", () => {
+  test("elects a leader as soon as a quorum may vote after all replicas restart", () => {
     const groups = 40;
-    let inTime = 0;
+    let electedInTime = 0;
     for (let seed = 1; seed <= groups; seed += 1) {
-      // Small seeds give much the same first numbers.
+      // Small consecutive seeds yield similar first random numbers.
       const group = new SimulatedGroup(3, Math.imul(seed, 0x9E3779B1));
-      group.settle(1000);
+      group.advance(1000);
       const nodes = [...group.nodes.values()];
       for (const node of nodes) {
         node.replica = undefined;
       }
-      group.settle(500);
+      group.advance(500);
       for (const pause of [200, 150, 0]) {
         group.start(nodes.shift()!);
-        group.settle(pause);
+        group.advance(pause);
       }
-      // The second to start, up for 150 ms, keeps the promise that it may have
-      // given to a leader for one timeout; half a timeout more must do.
-      group.settle(ELECTION_TIMEOUT - 150 + ELECTION_TIMEOUT / 2);
-      inTime += group.leader === undefined ? 0 : 1;
+      // The second replica, which started 150 ms ago, refuses votes for the rest
+      // of one election timeout. Half a timeout more must suffice.
+      group.advance(ELECTION_TIMEOUT_MS - 150 + ELECTION_TIMEOUT_MS / 2);
+      electedInTime += group.leader === undefined ? 0 : 1;
       group.checkAcknowledged();
     }
-    // Two that ask in the same moment may split the votes.
-    expect(inTime).toBeGreaterThanOrEqual(groups * 0.9);
+    // Simultaneous candidates may split the vote.
+    expect(electedInTime).toBeGreaterThanOrEqual(groups * 0.9);
   });
 
   test.each([0, 20])(
-    "elects at once when all voters have restarted, %s ms apart",
+    "elects a leader within three quarters of a timeout after all voters restart %s ms apart",
     (apart) => {
       const groups = 200;
-      let inTime = 0;
+      let electedInTime = 0;
       for (let seed = 1; seed <= groups; seed += 1) {
         const group = new SimulatedGroup(3, Math.imul(seed, 0x9E3779B1));
-        group.settle(1000);
+        group.advance(1000);
         const before = group.leader!;
         group.propose(before);
-        group.settle(50);
+        group.advance(50);
         for (const node of group.nodes.values()) {
           node.replica = undefined;
         }
         for (const node of group.nodes.values()) {
           group.start(node);
-          group.settle(apart);
+          group.advance(apart);
         }
-        group.settle(ELECTION_TIMEOUT * 0.75);
-        inTime += group.leader === undefined ? 0 : 1;
+        group.advance(ELECTION_TIMEOUT_MS * 0.75);
+        electedInTime += group.leader === undefined ? 0 : 1;
         group.checkAcknowledged();
       }
-      // Candidates that split the votes ask again before their timeouts end;
-      // 23 of 200 that started in the same moment were in time before.
-      expect(inTime).toBeGreaterThanOrEqual(groups * 0.92);
+      // Candidates that split the vote retry before a full election timeout.
+      expect(electedInTime).toBeGreaterThanOrEqual(groups * 0.92);
     },
   );
 
-  test("keeps the promise while one voter hasn't said that it leads nothing", () => {
+  test("refuses votes while one voter hasn't reported that it doesn't lead", () => {
     const group = new SimulatedGroup(3, 9);
-    group.settle(1000);
-    const old = group.leader!;
-    const others = [...group.nodes.values()].filter((node) => node !== old);
+    group.advance(1000);
+    const oldLeader = group.leader!;
+    const others = [...group.nodes.values()].filter((node) =>
+      node !== oldLeader
+    );
     for (const node of others) {
       node.replica = undefined;
       group.start(node);
     }
-    // The leader is cut off from the two that have restarted.
-    group.cut.add(old.member.id);
-    group.settle(ELECTION_TIMEOUT - 60);
+    // The leader is isolated from the two restarted replicas.
+    group.isolated.add(oldLeader.member.id);
+    group.advance(ELECTION_TIMEOUT_MS - 60);
     expect(others.map((node) => node.replica?.role)).not.toContain("leader");
-    group.settle(ELECTION_TIMEOUT * 2);
+    group.advance(ELECTION_TIMEOUT_MS * 2);
     expect(others.map((node) => node.replica?.role)).toContain("leader");
   });
 
-  test("an isolated leader gives up its lease before another is elected", () => {
+  test("an isolated leader loses its lease before another is elected", () => {
     const group = new SimulatedGroup(3, 2);
-    group.settle(1000);
-    const old = group.leader!;
-    group.cut.add(old.member.id);
-    group.settle(3000);
-    expect(old.replica!.role).not.toBe("leader");
-    expect(old.replica!.leaseUntil).toBe(0);
+    group.advance(1000);
+    const oldLeader = group.leader!;
+    group.isolated.add(oldLeader.member.id);
+    group.advance(3000);
+    expect(oldLeader.replica!.role).not.toBe("leader");
+    expect(oldLeader.replica!.leaseUntil).toBe(0);
     expect(group.leader).toBeDefined();
   });
 
-  test("an isolated follower doesn't disturb the group when it returns", () => {
+  test("an isolated follower doesn't disturb the group when it reconnects", () => {
     const group = new SimulatedGroup(3, 3);
-    group.settle(1000);
+    group.advance(1000);
     const leader = group.leader!;
     const term = leader.replica!.term;
     const follower = [...group.nodes.values()].find((node) => node !== leader)!;
-    group.cut.add(follower.member.id);
-    group.settle(5000);
-    group.cut.clear();
-    group.settle(1000);
+    group.isolated.add(follower.member.id);
+    group.advance(5000);
+    group.isolated.clear();
+    group.advance(1000);
     expect(group.leader).toBe(leader);
     expect(leader.replica!.term).toBe(term);
   });
 
-  test("a replica that missed 500 changes catches up by snapshot", () => {
+  test("a replica that missed 500 entries catches up by snapshot", () => {
     const group = new SimulatedGroup(3, 4);
-    group.settle(1000);
+    group.advance(1000);
     const leader = group.leader!;
-    const late = [...group.nodes.values()].find((node) => node !== leader)!;
-    late.replica = undefined;
+    const lateReplica = [...group.nodes.values()].find((node) =>
+      node !== leader
+    )!;
+    lateReplica.replica = undefined;
     for (let count = 0; count < 500; count += 1) {
       group.propose(leader);
-      group.settle(10);
+      group.advance(10);
     }
     group.snapshot(leader);
-    group.settle(50);
-    group.start(late);
-    group.settle(4000);
-    expect(late.replica!.appliedIndex).toBe(leader.replica!.appliedIndex);
-    expect(late.applied).toEqual(leader.applied);
+    group.advance(50);
+    group.start(lateReplica);
+    group.advance(4000);
+    expect(lateReplica.replica!.appliedIndex).toBe(
+      leader.replica!.appliedIndex,
+    );
+    expect(lateReplica.applied).toEqual(leader.applied);
   });
 
-  test("a lost disk is replaced, and a second loss right after is survived", () => {
+  test("replaces a member that lost its disk and then survives the loss of another", () => {
     const group = new SimulatedGroup(3, 5);
-    group.settle(1000);
+    group.advance(1000);
     group.propose(group.leader!);
-    group.settle(200);
+    group.advance(200);
     const lost = [...group.nodes.values()].find((node) =>
       node !== group.leader
     )!;
@@ -508,12 +517,12 @@
     const fresh = { ...lost.member, id: "fresh", voter: false };
     group.add(fresh);
     const change = (members: ReplicaMember[]) => {
-      group.drive(group.leader!, {
+      group.handleEvent(group.leader!, {
         kind: "change_members",
         token: "m",
         members,
       });
-      group.settle(300);
+      group.advance(300);
     };
     change([...group.leader!.replica!.members, fresh]);
     change(
@@ -530,15 +539,15 @@
       node !== group.leader && node.member.id !== "fresh"
     )!;
     group.nodes.delete(second.member.id);
-    group.settle(2000);
+    group.advance(2000);
     group.propose(group.leader!);
-    group.settle(300);
-    expect(group.acknowledged).toContain(`p${group.proposals}`);
+    group.advance(300);
+    expect(group.acknowledged).toContain(`p${group.proposalCount}`);
   });
 
-  test("commits an old term's entry only behind one of its own", () => {
-    // Figure 8 of the Raft paper: a majority holds an entry of term 2 when a
-    // leader of a later term counts it; it may still be overwritten.
+  test("commits an entry of an earlier term only along with one of its own term", () => {
+    // Figure 8 of the Raft paper: an entry of an earlier term may still be
+    // overwritten even if a majority holds it, so counting must not commit it.
     const records: JournalRecord[] = [
       { kind: "vote", term: 2, votedFor: "n0" },
       {
@@ -562,10 +571,10 @@
       },
     });
     for (const event of [{ kind: "tick" as const }, vote(true), vote(false)]) {
-      group.drive(first, event);
+      group.handleEvent(first, event);
     }
     expect(first.replica!.role).toBe("leader");
-    group.drive(first, {
+    group.handleEvent(first, {
       kind: "message",
       message: {
         kind: "append_reply",
@@ -578,7 +587,7 @@
     });
     expect(first.replica!.commitIndex).toBe(0);
     group.sync(first);
-    group.drive(first, {
+    group.handleEvent(first, {
       kind: "message",
       message: {
         kind: "append_reply",
@@ -592,7 +601,7 @@
     expect(first.replica!.commitIndex).toBe(2);
   });
 
-  test("answers for its disk only after the sync", () => {
+  test("sends vote and append replies only after the disk sync", () => {
     const group = new SimulatedGroup(3, 10);
     const node = [...group.nodes.values()][0]!;
     group.time = 10_000;
@@ -626,9 +635,9 @@
     }
   });
 
-  test("counts its own entry only once it is on disk", () => {
+  test("a leader counts its own entry only once it is on disk", () => {
     const group = new SimulatedGroup(3, 11);
-    group.settle(1000);
+    group.advance(1000);
     const leader = group.leader!;
     group.propose(leader);
     const index = leader.replica!.lastIndex;
@@ -637,7 +646,7 @@
       if (other === undefined || leader.replica!.commitIndex === index) {
         continue;
       }
-      group.drive(leader, {
+      group.handleEvent(leader, {
         kind: "message",
         message: {
           kind: "append_reply",
@@ -655,23 +664,23 @@
     expect(leader.replica!.commitIndex).toBe(index);
   });
 
-  test("keeps its promise to the leader when its wall clock jumps", () => {
+  test("starts no election when its wall clock jumps soon after leader contact", () => {
     const group = new SimulatedGroup(3, 12);
-    group.settle(1000);
+    group.advance(1000);
     const follower = [...group.nodes.values()].find((node) =>
       node !== group.leader
     )!;
-    follower.jump += 10 * ELECTION_TIMEOUT;
-    group.drive(follower, { kind: "tick" });
+    follower.clockOffset += 10 * ELECTION_TIMEOUT_MS;
+    group.handleEvent(follower, { kind: "tick" });
     expect(follower.replica!.role).toBe("follower");
-    group.time += 3 * ELECTION_TIMEOUT;
-    group.drive(follower, { kind: "tick" });
+    group.time += 3 * ELECTION_TIMEOUT_MS;
+    group.handleEvent(follower, { kind: "tick" });
     expect(follower.replica!.role).toBe("candidate");
   });
 
-  test("refuses a change of two voters at once", () => {
+  test("rejects a change of two voters at once", () => {
     const group = new SimulatedGroup(3, 6);
-    group.settle(1000);
+    group.advance(1000);
     const leader = group.leader!;
     const effects = leader.replica!.handle({
       kind: "change_members",
@@ -683,13 +692,13 @@
     );
   });
 
-  test("hands leadership over on a planned stop without a gap", () => {
+  test("transfers leadership within 60 ms on a planned shutdown", () => {
     const group = new SimulatedGroup(3, 8);
-    group.settle(1000);
-    const old = group.leader!;
-    group.drive(old, { kind: "step_down" });
-    group.settle(60);
+    group.advance(1000);
+    const oldLeader = group.leader!;
+    group.handleEvent(oldLeader, { kind: "step_down" });
+    group.advance(60);
     expect(group.leader).toBeDefined();
-    expect(group.leader).not.toBe(old);
+    expect(group.leader).not.toBe(oldLeader);
   });
 });
--- a/packages/consensus/replicated_log.ts
+++ b/packages/consensus/replicated_log.ts
@@ -1,7 +1,7 @@
 import type { LogEntry } from "@heroncleat/schema";
 
 /**
- * The part of the log that is held in memory: entries behind a compacted
+ * The part of the log that is kept in memory: the entries after the compacted
  * base. Indexes start at 1.
  *
  * @internal
@@ -29,7 +29,7 @@
     return this.#entries.at(-1)?.term ?? this.#baseTerm;
   }
 
-  /** Term of the entry, or undefined where it is compacted or missing. */
+  /** Term of the entry; undefined when it is compacted or missing. */
   termAt(index: number): number | undefined {
     if (index === this.#baseIndex) {
       return this.#baseTerm;
@@ -41,22 +41,22 @@
     return this.#entries[index - this.#baseIndex - 1];
   }
 
-  /** Up to `most` entries from `from` on. */
-  slice(from: number, most: number): LogEntry[] {
+  /** Up to `max` entries, starting at index `from`. */
+  slice(from: number, max: number): LogEntry[] {
     const start = from - this.#baseIndex - 1;
-    return this.#entries.slice(start, start + most);
+    return this.#entries.slice(start, start + max);
   }
 
   append(entry: LogEntry): void {
     this.#entries.push(entry);
   }
 
-  /** Drops the entry at `from` and all behind it. */
+  /** Drops the entry at `from` and all later ones. */
   truncate(from: number): void {
     this.#entries.length = Math.max(0, from - this.#baseIndex - 1);
   }
 
-  /** Forgets entries up to and including `index`. */
+  /** Drops the entries up to and including `index`. */
   compact(index: number): void {
     const term = this.termAt(index);
     if (term === undefined || index <= this.#baseIndex) {
@@ -67,7 +67,7 @@
     this.#baseTerm = term;
   }
 
-  /** Starts anew behind a snapshot. */
+  /** Clears the log and continues after a snapshot. */
   reset(index: number, term: number): void {
     this.#baseIndex = index;
     this.#baseTerm = term;
--- a/packages/consensus/replication.ts
+++ b/packages/consensus/replication.ts
@@ -5,16 +5,16 @@
 import { emit } from "./emit.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
-/** Rounds whose send time is remembered while no quorum answers. */
+/** Heartbeat rounds whose send time is kept until a quorum confirms them. */
 const MAX_UNCONFIRMED_ROUNDS = 1000;
 
 /**
- * What a leader sends to the other members.
+ * Sends the leader's log to the other members.
  *
  * @internal
  */
 export const replication = {
-  /** Starts to follow the progress of a member. */
+  /** Returns a member's progress, creating it if needed; none for the leader. */
   ensureProgress(
     state: ReplicaState,
     leadership: Leadership,
@@ -23,9 +23,9 @@
     if (id === state.settings.id) {
       return undefined;
     }
-    const known = leadership.progress.get(id);
-    if (known !== undefined) {
-      return known;
+    const existing = leadership.progress.get(id);
+    if (existing !== undefined) {
+      return existing;
     }
     const progress: FollowerProgress = {
       matchIndex: 0,
@@ -41,7 +41,7 @@
     return progress;
   },
 
-  /** Sends a numbered heartbeat, with entries where some are missing. */
+  /** Sends a numbered heartbeat, with the entries that members lack. */
   startHeartbeatRound(state: ReplicaState, at: ClockReading): void {
     const leadership = state.leadership!;
     leadership.round += 1;
@@ -55,19 +55,24 @@
       if (progress === undefined) {
         continue;
       }
-      const waited = at.now - progress.sentAt;
+      const timeInFlight = at.now - progress.sentAt;
       if (
-        progress.hasRequestInFlight && waited < state.settings.electionTimeout
+        progress.hasRequestInFlight &&
+        timeInFlight < state.settings.electionTimeout
       ) {
         sendHeartbeat(state, member.id, progress);
         continue;
       }
       progress.hasRequestInFlight = false;
-      sendEntriesOrSnapshot(state, member.id, { progress, at, always: true });
+      sendEntriesOrSnapshot(state, member.id, {
+        progress,
+        at,
+        sendsWhenEmpty: true,
+      });
     }
   },
 
-  /** Sends missing entries to every member that isn't busy with some. */
+  /** Sends missing entries to every member without a request in flight. */
   sendEntriesToAll(state: ReplicaState, at: ClockReading): void {
     for (const member of state.members) {
       replication.sendEntriesTo(state, member.id, at);
@@ -81,7 +86,7 @@
     }
     const progress = replication.ensureProgress(state, leadership, id);
     if (progress !== undefined && !progress.hasRequestInFlight) {
-      sendEntriesOrSnapshot(state, id, { progress, at, always: false });
+      sendEntriesOrSnapshot(state, id, { progress, at, sendsWhenEmpty: false });
     }
   },
 };
@@ -89,16 +94,20 @@
 function sendEntriesOrSnapshot(
   state: ReplicaState,
   id: string,
-  options: { progress: FollowerProgress; at: ClockReading; always: boolean },
+  options: {
+    progress: FollowerProgress;
+    at: ClockReading;
+    sendsWhenEmpty: boolean;
+  },
 ): void {
-  const { progress, at, always } = options;
+  const { progress, at, sendsWhenEmpty } = options;
   if (progress.nextIndex <= state.log.baseIndex) {
     sendSnapshotChunk(state, id, { progress, at });
     return;
   }
-  const most = state.settings.maxAppendEntries;
-  const entries = state.log.slice(progress.nextIndex, most);
-  if (entries.length === 0 && !always) {
+  const maxEntries = state.settings.maxAppendEntries;
+  const entries = state.log.slice(progress.nextIndex, maxEntries);
+  if (entries.length === 0 && !sendsWhenEmpty) {
     return;
   }
   emit.send(state, id, createAppend(state, progress.nextIndex, entries));
@@ -113,10 +122,10 @@
   id: string,
   progress: FollowerProgress,
 ): void {
-  // The match index is known to be held, so this never contradicts what is
-  // on its way.
-  const next = Math.max(progress.matchIndex, state.log.baseIndex) + 1;
-  emit.send(state, id, createAppend(state, next, []));
+  // The member has the log up to its match index, so this doesn't conflict with
+  // a request in flight.
+  const nextIndex = Math.max(progress.matchIndex, state.log.baseIndex) + 1;
+  emit.send(state, id, createAppend(state, nextIndex, []));
 }
 
 function createAppend(
--- a/packages/consensus/restore_state.ts
+++ b/packages/consensus/restore_state.ts
@@ -9,7 +9,7 @@
 import { ReplicatedLog } from "./replicated_log.ts";
 import type { StoredReplica } from "./stored_replica.ts";
 
-/** Rebuilds a replica's state from its settings and its disk. @internal */
+/** Restores a replica's state from its settings and its disk. @internal */
 export function restoreState(
   settings: ReplicaSettings,
   options: { random: Random; stored: StoredReplica; at: ClockReading },
@@ -37,8 +37,8 @@
     commitIndex: snapshot.lastIndex,
     appliedIndex: snapshot.lastIndex,
     electionDueAt: 0,
-    // This replica may have heard a leader just before it stopped, so it
-    // starts with the promise not to elect another.
+    // This replica may have had contact with a leader just before it stopped,
+    // so it refuses votes for one election timeout.
     lastLeaderContactAt: at.steady,
     isPreVoting: false,
     votes: new Set(),
--- a/packages/consensus/stored_replica.ts
+++ b/packages/consensus/stored_replica.ts
@@ -1,6 +1,6 @@
 import type { JournalRecord, LogSnapshot } from "@heroncleat/schema";
 
-/** What a replica's disk held when the process started. @public */
+/** Contents of a replica's disk at the start of the process. @public */
 export type StoredReplica = {
   readonly snapshot: LogSnapshot | undefined;
   readonly records: readonly JournalRecord[];
