--- a/apps/heroncleatd/hub/departure_replicator.ts
+++ b/apps/heroncleatd/hub/departure_replicator.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from "@heroncleat/base";
-import { lossTolerance } from "@heroncleat/consensus";
+import { faultTolerance } from "@heroncleat/consensus";
 import type { UpstreamRecord } from "@heroncleat/serving";
 
 /**
@@ -127,7 +127,7 @@
     members: readonly string[],
   ): boolean {
     const requiredCopies = Math.min(
-      lossTolerance.copies(this.#options.toleratedLosses()),
+      faultTolerance.copies(this.#options.toleratedLosses()),
       members.length,
     );
     return storedBy.size >= requiredCopies;
--- a/apps/heroncleatd/hub/hub_settings.ts
+++ b/apps/heroncleatd/hub/hub_settings.ts
@@ -1,4 +1,4 @@
-import type { PromisedLosses } from "@heroncleat/consensus";
+import type { FaultToleranceTarget } from "@heroncleat/consensus";
 
 /** Settings of a control replica. */
 export type HubSettings = {
@@ -9,7 +9,7 @@
   /** Peer addresses of control processes; not all need to be running. */
   readonly seeds: readonly string[];
   /** Simultaneous losses that the group must survive. */
-  readonly promisedLosses: PromisedLosses;
+  readonly promisedLosses: FaultToleranceTarget;
   /**
    * Number of VMs with a replica that may be lost at once, including those of a
    * lost zone.
--- a/apps/heroncleatd/hub/replica_group.ts
+++ b/apps/heroncleatd/hub/replica_group.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@heroncleat/base";
 import {
+  faultTolerance,
   type GroupState,
-  lossTolerance,
   Replica,
   ReplicaRole,
 } from "@heroncleat/consensus";
@@ -111,8 +111,8 @@
       heartbeatInterval: electionTimeout / HEARTBEATS_PER_TIMEOUT,
       electionTimeout,
       clockDrift,
-      snapshotChunk: SNAPSHOT_CHUNK_BYTES,
-      appendEntries: MAX_APPEND_ENTRIES,
+      snapshotChunkLength: SNAPSHOT_CHUNK_BYTES,
+      maxAppendEntries: MAX_APPEND_ENTRIES,
       trailingEntries: TRAILING_ENTRIES,
     }, {
       random: Math.random,
@@ -217,7 +217,7 @@
       self,
       seeds: () => options.settings().seeds,
       mayBootstrap: settings.isFirstStart,
-      targetMemberCount: lossTolerance.voters(settings.toleratedLosses),
+      targetMemberCount: faultTolerance.voters(settings.toleratedLosses),
       clock: options.clock,
       log: options.log("group"),
       ...bootstrapCalls.caller(options.pool, {
--- a/apps/heroncleatd/hub/simulated_bootstrap.ts
+++ b/apps/heroncleatd/hub/simulated_bootstrap.ts
@@ -1,5 +1,5 @@
 import { createSeededRandom, type Random } from "@heroncleat/base";
-import { lossTolerance } from "@heroncleat/consensus";
+import { faultTolerance } from "@heroncleat/consensus";
 import type { FoundingView, ReplicaMember } from "@heroncleat/schema";
 import type { Log } from "../common/log.ts";
 import { bootstrapCalls } from "./bootstrap_calls.ts";
@@ -117,7 +117,7 @@
       self: vm.member,
       seeds: () => this.#seeds,
       mayBootstrap: true,
-      targetMemberCount: lossTolerance.voters(this.#toleratedLosses),
+      targetMemberCount: faultTolerance.voters(this.#toleratedLosses),
       clock: { steady: this.#now } as never,
       log: silentLog,
       register: (seed, request) => call(seed, "group.register", request),
--- a/packages/consensus/committing.ts
+++ b/packages/consensus/commitment.ts
@@ -1,29 +1,33 @@
 import type { LogEntry, ReplicaMember } from "@heroncleat/schema";
-import { output } from "./output.ts";
+import { emit } from "./emit.ts";
 import { quorum } from "./quorum.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
 /**
- * Moves the commit index and hands committed entries to the application.
+ * Advances the commit index and passes committed entries to the application.
  *
  * @internal
  */
-export const committing = {
-  /** Leader: commits what a majority holds on disk. */
+export const commitment = {
+  /** Commits, on the leader, the entries that a majority has on disk. */
   advance(state: ReplicaState): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
       return;
     }
-    const held = quorum.reachedValue(state.members, (id) => {
+    const majorityIndex = quorum.majorityValue(state.members, (id) => {
       if (id === state.settings.id) {
         return state.durableIndex;
       }
       return leadership.progress.get(id)?.matchIndex ?? 0;
     });
-    // Only an entry of the present term commits by counting (Raft, 5.4.2).
-    if (held > state.commitIndex && state.log.termAt(held) === state.term) {
-      committing.commitTo(state, held);
+    // Counting replicas commits only entries of the current term (Raft,
+    // section 5.4.2).
+    if (
+      majorityIndex > state.commitIndex &&
+      state.log.termAt(majorityIndex) === state.term
+    ) {
+      commitment.commitTo(state, majorityIndex);
     }
   },
 
@@ -42,34 +46,37 @@
     }
   },
 
-  /** Notes that persist effects up to `number` are on disk. */
+  /** Records that the persist effects up to `number` are on disk. */
   onPersisted(state: ReplicaState, number: number): void {
-    while (state.unsynced.length > 0 && state.unsynced[0]!.number <= number) {
-      const synced = state.unsynced.shift()!;
+    while (
+      state.unsyncedPersists.length > 0 &&
+      state.unsyncedPersists[0]!.number <= number
+    ) {
+      const synced = state.unsyncedPersists.shift()!;
       state.durableIndex = Math.max(state.durableIndex, synced.lastIndex);
     }
-    committing.advance(state);
+    commitment.advance(state);
   },
 
-  /** Drops the entry at `from` and all behind it. */
+  /** Drops the entry at `from` and all later ones; rejects their proposals. */
   truncate(state: ReplicaState, from: number): void {
     state.log.truncate(from);
     state.durableIndex = Math.min(state.durableIndex, from - 1);
-    for (const pending of state.unsynced) {
-      pending.lastIndex = Math.min(pending.lastIndex, from - 1);
+    for (const persist of state.unsyncedPersists) {
+      persist.lastIndex = Math.min(persist.lastIndex, from - 1);
     }
-    for (const [index, proposal] of state.proposals) {
+    for (const [index, proposal] of state.pendingProposals) {
       if (index >= from) {
-        state.proposals.delete(index);
-        output.reject(state, proposal.token, "superseded");
+        state.pendingProposals.delete(index);
+        emit.reject(state, proposal.token, "superseded");
       }
     }
     if (state.membersIndex >= from) {
-      committing.restoreMembers(state);
+      commitment.restoreMembers(state);
     }
   },
 
-  /** Finds the latest member list that is still in the log. */
+  /** Resets the members to the latest list in the log or the snapshot. */
   restoreMembers(state: ReplicaState): void {
     state.members = state.snapshot.members;
     state.membersIndex = state.snapshot.lastIndex;
@@ -89,13 +96,13 @@
 
 function apply(state: ReplicaState, entry: LogEntry): void {
   state.effects.push({ kind: "apply", entry });
-  const proposal = state.proposals.get(entry.index);
+  const proposal = state.pendingProposals.get(entry.index);
   if (proposal === undefined) {
     return;
   }
-  state.proposals.delete(entry.index);
+  state.pendingProposals.delete(entry.index);
   if (proposal.term !== entry.term) {
-    output.reject(state, proposal.token, "superseded");
+    emit.reject(state, proposal.token, "superseded");
     return;
   }
   state.effects.push({
--- a/packages/consensus/election.ts
+++ b/packages/consensus/election.ts
@@ -4,138 +4,140 @@
   VoteReply,
   VoteRequest,
 } from "@heroncleat/schema";
-import type { Instant } from "./instant.ts";
-import { leading } from "./leading.ts";
-import { output } from "./output.ts";
+import type { ClockReading } from "./clock_reading.ts";
+import { leaderRole } from "./leader_role.ts";
+import { emit } from "./emit.ts";
 import { quorum } from "./quorum.ts";
 import { ReplicaRole } from "./replica_role.ts";
 import type { ReplicaState } from "./replica_state.ts";
 
-/** Shortest pause between two pre-votes, as a share of the timeout. */
-const PRE_VOTE_SHARE = 0.15;
+/** Minimum pause between pre-votes, as a fraction of the election timeout. */
+const PRE_VOTE_PAUSE_FRACTION = 0.15;
 
 /**
- * Shortest time for a vote on the evidence that nobody leads, as a share of the
- * timeout. Replicas that start in the same moment may all find that evidence
- * at once and each vote for itself. A vote takes two syncs and two ways, 10 ms
- * and 100 ms on slow disks; waiting for the whole timeout instead kept a group
- * without a leader for 0.75 s after one of four losses of power.
+ * Minimum time until an election that started because no voter leads is
+ * retried, as a fraction of the election timeout. Replicas that start at the
+ * same time are likely to split the vote, so the retry comes early.
  */
-const QUIET_VOTE_SHARE = 0.25;
+const LEADERLESS_TIMEOUT_FRACTION = 0.25;
 
-/** A candidate for whom some voter may lead. */
-const NOT_QUIET = -1;
+/** Value of `quietTerm` while some voter leads or may lead. */
+const NOT_LEADERLESS = -1;
 
 /**
- * Elections with pre-vote (Raft, section 9.6 of Ongaro's dissertation). A
- * replica that heard a leader lately grants no vote, which is what a leader's
- * lease rests on.
+ * Leader election with pre-vote (Raft, section 9.6 of Ongaro's dissertation).
+ * A replica that had contact with a leader within the election timeout grants
+ * no vote; leader leases rely on this.
  *
- * A replica that restarts can't know whether it heard a leader just before, so
- * it keeps that promise for one timeout. But once every voter has said that it
- * leads nothing, no lease is left to guard: a candidate that heard this of all
- * of them shows it with its request, and the promise is void. After a loss of
- * all processes a leader stands 0.1 s after the last replica has started, not
- * 0.5 to 0.9 s (group test in virtual time).
+ * A replica that restarts can't know when it last had contact with a leader,
+ * so it refuses votes for one election timeout. Once every voter has reported
+ * that it doesn't lead, no lease can be valid: the candidate sends this as
+ * `quietTerm` in its vote request, and voters skip the wait.
  *
  * @internal
  */
 export const election = {
-  /** Picks the next time to start an election. */
-  schedule(state: ReplicaState, at: Instant): void {
+  /** Sets the election timer to a random time of one to two timeouts. */
+  resetTimer(state: ReplicaState, at: ClockReading): void {
     const timeout = state.settings.electionTimeout;
-    state.electionAt = at.now + timeout + state.random() * timeout;
+    state.electionDueAt = at.now + timeout + state.random() * timeout;
   },
 
   /**
-   * Picks the next time to ask again after a pre-vote. It changes nothing at
-   * the others, so it may come much sooner than an election: a group that
-   * starts anew elects as soon as a quorum may vote.
+   * Schedules the next pre-vote. A pre-vote changes no state of the other
+   * replicas, so it may repeat much sooner than an election; a group that
+   * restarts then elects a leader as soon as a quorum may vote.
    */
-  schedulePreVote(state: ReplicaState, at: Instant): void {
-    const pause = state.settings.electionTimeout * PRE_VOTE_SHARE;
-    state.electionAt = at.now + pause + state.random() * pause;
+  schedulePreVoteRetry(state: ReplicaState, at: ClockReading): void {
+    const pause = state.settings.electionTimeout * PRE_VOTE_PAUSE_FRACTION;
+    state.electionDueAt = at.now + pause + state.random() * pause;
   },
 
-  /** Starts a pre-vote when no leader was heard for long enough. */
-  startIfDue(state: ReplicaState, at: Instant): void {
-    if (state.role === ReplicaRole.leader || at.now < state.electionAt) {
+  /** Starts a pre-vote when the election timer has expired. */
+  startPreVoteIfDue(state: ReplicaState, at: ClockReading): void {
+    if (state.role === ReplicaRole.leader || at.now < state.electionDueAt) {
       return;
     }
-    // A wall clock that jumps moves `now` only; the promise to the leader,
-    // which its lease counts on, ends by the monotonic clock. Without a known
-    // leader a pre-vote may show that no promise is left to keep.
-    if (state.leader !== "" && hasHeardLeader(state, at)) {
+    // A jump of the wall clock affects `now` only. The leader's lease relies
+    // on the time since the last contact as measured on the monotonic clock.
+    // Without a known leader, a pre-vote may show that no lease is valid.
+    if (state.leader !== "" && hasRecentLeaderContact(state, at)) {
       return;
     }
     if (state.leader !== "") {
       state.leader = "";
-      output.role(state);
+      emit.role(state);
     }
     if (!quorum.isVoter(state.members, state.settings.id)) {
-      election.schedule(state, at);
+      election.resetTimer(state, at);
       return;
     }
-    election.schedulePreVote(state, at);
+    election.schedulePreVoteRetry(state, at);
     startPreVote(state, at);
   },
 
-  /** Picks the first pre-vote of a replica that starts. */
-  scheduleFirst(state: ReplicaState, at: Instant): void {
-    const pause = state.settings.electionTimeout * PRE_VOTE_SHARE;
-    state.electionAt = at.now + state.random() * pause;
+  /** Schedules the first pre-vote after a replica has started. */
+  scheduleFirstPreVote(state: ReplicaState, at: ClockReading): void {
+    const pause = state.settings.electionTimeout * PRE_VOTE_PAUSE_FRACTION;
+    state.electionDueAt = at.now + state.random() * pause;
   },
 
-  /** Starts a real election at once, on the leader's request. */
-  startTransfer(state: ReplicaState, at: Instant): void {
+  /** Starts an election without pre-vote, at the leader's request. */
+  startTransferElection(state: ReplicaState, at: ClockReading): void {
     if (quorum.isVoter(state.members, state.settings.id)) {
-      startVote(state, at, { transfer: true, quietTerm: NOT_QUIET });
+      startElection(state, at, { transfer: true, quietTerm: NOT_LEADERLESS });
     }
   },
 
-  onRequest(state: ReplicaState, request: VoteRequest, at: Instant): void {
-    if (refusesToVote(state, request, at)) {
-      answer(state, request, false);
+  onVoteRequest(
+    state: ReplicaState,
+    request: VoteRequest,
+    at: ClockReading,
+  ): void {
+    if (isVoteRefused(state, request, at)) {
+      sendVoteReply(state, request, false);
       return;
     }
     if (!request.pre && request.term > state.term) {
       election.becomeFollower(state, request.term, "", at);
     }
-    const granted = isUpToDate(state, request) && mayVote(state, request);
+    const granted = isUpToDate(state, request) && canVoteFor(state, request);
     if (granted && !request.pre) {
       state.votedFor = request.from;
-      output.persistVote(state);
-      election.schedule(state, at);
+      emit.persistVote(state);
+      election.resetTimer(state, at);
     }
-    answer(state, request, granted);
+    sendVoteReply(state, request, granted);
   },
 
-  onReply(state: ReplicaState, reply: VoteReply, at: Instant): void {
+  onVoteReply(state: ReplicaState, reply: VoteReply, at: ClockReading): void {
     if (reply.term > state.term && !reply.granted) {
       election.becomeFollower(state, reply.term, "", at);
       return;
     }
-    if (state.role === ReplicaRole.candidate && state.preVoting && reply.pre) {
+    if (
+      state.role === ReplicaRole.candidate && state.isPreVoting && reply.pre
+    ) {
       onPreVoteReply(state, reply, at);
       return;
     }
-    const counts = state.role === ReplicaRole.candidate &&
-      !state.preVoting && !reply.pre && reply.term === state.term &&
+    const isGrantedVote = state.role === ReplicaRole.candidate &&
+      !state.isPreVoting && !reply.pre && reply.term === state.term &&
       reply.granted;
-    if (!counts) {
+    if (!isGrantedVote) {
       return;
     }
     state.votes.add(reply.from);
-    if (quorum.reached(state.members, (id) => state.votes.has(id))) {
-      leading.begin(state, at);
+    if (quorum.hasMajority(state.members, (id) => state.votes.has(id))) {
+      leaderRole.begin(state, at);
     }
   },
 
-  /** Follows the leader that sent this, or says that it is out of date. */
-  acceptsLeader(
+  /** Follows the sender and returns true unless its term is stale. */
+  acceptLeader(
     state: ReplicaState,
     message: Append | SnapshotChunk,
-    at: Instant,
+    at: ClockReading,
   ): boolean {
     if (message.term < state.term) {
       return false;
@@ -145,8 +147,8 @@
     if (changed) {
       election.becomeFollower(state, message.term, message.from, at);
     }
-    state.leaderHeardAt = at.steady;
-    election.schedule(state, at);
+    state.lastLeaderContactAt = at.steady;
+    election.resetTimer(state, at);
     return true;
   },
 
@@ -154,106 +156,113 @@
     state: ReplicaState,
     term: number,
     leader: string,
-    at: Instant,
+    at: ClockReading,
   ): void {
     if (term > state.term) {
       state.term = term;
       state.votedFor = "";
-      output.persistVote(state);
+      emit.persistVote(state);
     }
-    leading.end(state);
+    leaderRole.end(state);
     state.role = ReplicaRole.follower;
     state.leader = leader;
     state.votes = new Set();
-    election.schedule(state, at);
-    output.role(state);
+    election.resetTimer(state, at);
+    emit.role(state);
   },
 };
 
-function startPreVote(state: ReplicaState, at: Instant): void {
+function startPreVote(state: ReplicaState, at: ClockReading): void {
   state.role = ReplicaRole.candidate;
-  state.preVoting = true;
+  state.isPreVoting = true;
   state.votes = new Set([state.settings.id]);
-  state.quietVoters = new Map([[state.settings.id, state.term]]);
-  ask(state, {
+  state.nonLeadingTerms = new Map([[state.settings.id, state.term]]);
+  requestVotes(state, {
     term: state.term + 1,
     transfer: false,
-    quietTerm: NOT_QUIET,
+    quietTerm: NOT_LEADERLESS,
   });
-  startVoteIfReady(state, at);
+  startElectionIfReady(state, at);
 }
 
 function onPreVoteReply(
   state: ReplicaState,
   reply: VoteReply,
-  at: Instant,
+  at: ClockReading,
 ): void {
-  // One that knows newer members may know a leader that isn't asked here.
-  const knowsAll = reply.membersIndex <= state.membersIndex;
-  if (knowsAll && reply.upToDate && reply.quietTerm >= state.term) {
-    state.quietVoters.set(reply.from, reply.quietTerm);
+  // A voter with a newer member list may know a leader that isn't in this
+  // replica's list.
+  const isMemberListCurrent = reply.membersIndex <= state.membersIndex;
+  if (isMemberListCurrent && reply.upToDate && reply.quietTerm >= state.term) {
+    state.nonLeadingTerms.set(reply.from, reply.quietTerm);
   }
   if (reply.granted && reply.term === state.term + 1) {
     state.votes.add(reply.from);
   }
-  startVoteIfReady(state, at);
+  startElectionIfReady(state, at);
 }
 
-/** Asks for votes once a quorum would grant them, or nobody may refuse. */
-function startVoteIfReady(state: ReplicaState, at: Instant): void {
-  const quietTerm = quietTermOf(state);
-  if (quietTerm !== NOT_QUIET) {
-    startVote(state, at, { transfer: false, quietTerm });
+/** Starts an election once no voter leads or a quorum would grant its vote. */
+function startElectionIfReady(state: ReplicaState, at: ClockReading): void {
+  const leaderlessTerm = findLeaderlessTerm(state);
+  if (leaderlessTerm !== NOT_LEADERLESS) {
+    startElection(state, at, { transfer: false, quietTerm: leaderlessTerm });
     return;
   }
-  const isGranted = quorum.reached(state.members, (id) => state.votes.has(id));
-  if (isGranted && !hasHeardLeader(state, at)) {
-    startVote(state, at, { transfer: false, quietTerm });
+  const isGranted = quorum.hasMajority(
+    state.members,
+    (id) => state.votes.has(id),
+  );
+  if (isGranted && !hasRecentLeaderContact(state, at)) {
+    startElection(state, at, { transfer: false, quietTerm: leaderlessTerm });
   }
 }
 
-/** The term up to which all voters said that they lead nothing. */
-function quietTermOf(state: ReplicaState): number {
-  let quietTerm = Infinity;
+/** The term up to which all voters reported that they don't lead. */
+function findLeaderlessTerm(state: ReplicaState): number {
+  let leaderlessTerm = Infinity;
   for (const { id } of quorum.voters(state.members)) {
-    quietTerm = Math.min(quietTerm, state.quietVoters.get(id) ?? NOT_QUIET);
+    leaderlessTerm = Math.min(
+      leaderlessTerm,
+      state.nonLeadingTerms.get(id) ?? NOT_LEADERLESS,
+    );
   }
-  return quietTerm >= state.term && quietTerm < Infinity
-    ? quietTerm
-    : NOT_QUIET;
+  return leaderlessTerm >= state.term && leaderlessTerm < Infinity
+    ? leaderlessTerm
+    : NOT_LEADERLESS;
 }
 
-function startVote(
+function startElection(
   state: ReplicaState,
-  at: Instant,
+  at: ClockReading,
   options: { transfer: boolean; quietTerm: number },
 ): void {
   state.role = ReplicaRole.candidate;
-  state.preVoting = false;
+  state.isPreVoting = false;
   state.term += 1;
   state.votedFor = state.settings.id;
   state.leader = "";
   state.votes = new Set([state.settings.id]);
-  output.persistVote(state);
-  if (options.quietTerm === NOT_QUIET) {
-    election.schedule(state, at);
+  emit.persistVote(state);
+  if (options.quietTerm === NOT_LEADERLESS) {
+    election.resetTimer(state, at);
   } else {
-    const pause = state.settings.electionTimeout * QUIET_VOTE_SHARE;
-    state.electionAt = at.now + pause + state.random() * pause;
+    const pause = state.settings.electionTimeout * LEADERLESS_TIMEOUT_FRACTION;
+    state.electionDueAt = at.now + pause + state.random() * pause;
   }
-  ask(state, { ...options, term: state.term });
-  if (quorum.reached(state.members, (id) => state.votes.has(id))) {
-    leading.begin(state, at);
+  requestVotes(state, { ...options, term: state.term });
+  if (quorum.hasMajority(state.members, (id) => state.votes.has(id))) {
+    leaderRole.begin(state, at);
   }
 }
 
-function ask(
+function requestVotes(
   state: ReplicaState,
   options: { term: number; transfer: boolean; quietTerm: number },
 ): void {
   const request: VoteRequest = {
     kind: "vote_request",
-    pre: state.preVoting,
+    pre: state.isPreVoting,
     term: options.term,
     from: state.settings.id,
     lastIndex: state.log.lastIndex,
@@ -263,16 +272,16 @@
   };
   for (const member of quorum.voters(state.members)) {
     if (member.id !== state.settings.id) {
-      output.sendAfterSync(state, member.id, request);
+      emit.sendAfterSync(state, member.id, request);
     }
   }
 }
 
-/** A replica that heard a leader lately keeps its promise to that leader. */
-function refusesToVote(
+/** Whether the term is stale or the lease of another leader may be valid. */
+function isVoteRefused(
   state: ReplicaState,
   request: VoteRequest,
-  at: Instant,
+  at: ClockReading,
 ): boolean {
   if (request.term < state.term) {
     return true;
@@ -283,13 +292,16 @@
   if (state.role === ReplicaRole.leader) {
     return true;
   }
-  // A promise is to a leader of this replica's term at the latest.
-  const isVoid = request.quietTerm >= state.term;
-  return hasHeardLeader(state, at) && !isVoid;
+  // A leader that this replica had contact with has a term up to its own.
+  const isLeaderless = request.quietTerm >= state.term;
+  return hasRecentLeaderContact(state, at) && !isLeaderless;
 }
 
-function hasHeardLeader(state: ReplicaState, at: Instant): boolean {
-  return at.steady - state.leaderHeardAt < state.settings.electionTimeout;
+function hasRecentLeaderContact(
+  state: ReplicaState,
+  at: ClockReading,
+): boolean {
+  return at.steady - state.lastLeaderContactAt < state.settings.electionTimeout;
 }
 
 function isUpToDate(state: ReplicaState, request: VoteRequest): boolean {
@@ -299,14 +311,14 @@
   return request.lastIndex >= state.log.lastIndex;
 }
 
-function mayVote(state: ReplicaState, request: VoteRequest): boolean {
+function canVoteFor(state: ReplicaState, request: VoteRequest): boolean {
   if (request.pre) {
     return request.term > state.term;
   }
   return state.votedFor === "" || state.votedFor === request.from;
 }
 
-function answer(
+function sendVoteReply(
   state: ReplicaState,
   request: VoteRequest,
   granted: boolean,
@@ -318,17 +330,17 @@
     from: state.settings.id,
     granted,
     upToDate: isUpToDate(state, request),
-    quietTerm: ownQuietTerm(state),
+    quietTerm: ownNonLeadingTerm(state),
     membersIndex: state.membersIndex,
   };
-  output.sendAfterSync(state, request.from, reply);
+  emit.sendAfterSync(state, request.from, reply);
 }
 
-/** The term up to which this replica doesn't and won't lead. */
-function ownQuietTerm(state: ReplicaState): number {
+/** The term up to which this replica doesn't lead and won't start to. */
+function ownNonLeadingTerm(state: ReplicaState): number {
   if (state.role === ReplicaRole.leader) {
-    return NOT_QUIET;
+    return NOT_LEADERLESS;
   }
-  const isElecting = state.role === ReplicaRole.candidate && !state.preVoting;
+  const isElecting = state.role === ReplicaRole.candidate && !state.isPreVoting;
   return isElecting ? state.term - 1 : state.term;
 }
--- a/packages/consensus/output.ts
+++ b/packages/consensus/emit.ts
@@ -6,19 +6,19 @@
 import type { ReplicaState } from "./replica_state.ts";
 
 /**
- * Builds the effects of a replica.
+ * Adds effects to those that a replica returns for the current event.
  *
  * @internal
  */
-export const output = {
+export const emit = {
   persist(
     state: ReplicaState,
     records: readonly JournalRecord[],
     snapshot?: LogSnapshot,
   ): void {
-    state.persistNumber += 1;
-    const number = state.persistNumber;
-    state.unsynced.push({ number, lastIndex: state.log.lastIndex });
+    state.lastPersistNumber += 1;
+    const number = state.lastPersistNumber;
+    state.unsyncedPersists.push({ number, lastIndex: state.log.lastIndex });
     state.effects.push(
       snapshot === undefined
         ? { kind: "persist", number, records }
@@ -27,24 +27,26 @@
   },
 
   persistVote(state: ReplicaState): void {
-    output.persist(state, [
+    emit.persist(state, [
       { kind: "vote", term: state.term, votedFor: state.votedFor },
     ]);
   },
 
-  /** Sends once everything persisted so far is on disk. */
+  /** Sends the message once all earlier persist effects are on disk. */
   sendAfterSync(
     state: ReplicaState,
     to: string,
     message: ConsensusMessage,
   ): void {
-    const after = state.unsynced.length === 0 ? 0 : state.persistNumber;
-    state.effects.push({ kind: "send", to, message, after });
+    const afterPersist = state.unsyncedPersists.length === 0
+      ? 0
+      : state.lastPersistNumber;
+    state.effects.push({ kind: "send", to, message, afterPersist });
   },
 
-  /** Sends at once; for messages that promise nothing about this disk. */
+  /** Sends at once; only for messages that don't depend on this disk. */
   send(state: ReplicaState, to: string, message: ConsensusMessage): void {
-    state.effects.push({ kind: "send", to, message, after: 0 });
+    state.effects.push({ kind: "send", to, message, afterPersist: 0 });
   },
 
   role(state: ReplicaState): void {
--- a/packages/consensus/leadership.ts
+++ b/packages/consensus/leadership.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { FollowerProgress } from "./follower_progress.ts";
 
-/** State that exists only while a replica leads. @internal */
+/** State that a replica has only while it leads. @internal */
 export type Leadership = {
   readonly progress: Map<string, FollowerProgress>;
   /** Number of the last heartbeat round. */
@@ -9,13 +9,13 @@
   /** When each unconfirmed round was sent, on the `now` clock. */
   readonly roundSentAt: Map<number, Milliseconds>;
   confirmedRound: number;
-  heartbeatAt: Milliseconds;
-  quorumHeardAt: Milliseconds;
+  nextHeartbeatAt: Milliseconds;
+  lastQuorumContactAt: Milliseconds;
   leaseUntil: Milliseconds;
-  /** Set once leadership is being given away; the lease is void from then. */
-  transferring: boolean;
+  /** Set once a leadership transfer starts; the lease is invalid from then. */
+  isTransferring: boolean;
   transferStartedAt: Milliseconds;
-  /** Index of the entry of this term that must commit before reads. */
-  readonly firstIndex: number;
-  readonly reads: { readonly token: string; readonly round: number }[];
+  /** Index of the first entry of this term; reads wait for its commit. */
+  readonly termStartIndex: number;
+  readonly pendingReads: { readonly token: string; readonly round: number }[];
 };
--- a/packages/consensus/replica.ts
+++ b/packages/consensus/replica.ts
@@ -5,26 +5,27 @@
   LogSnapshot,
   ReplicaMember,
 } from "@heroncleat/schema";
-import { committing } from "./committing.ts";
+import { commitment } from "./commitment.ts";
 import { election } from "./election.ts";
-import { following } from "./following.ts";
-import type { Instant } from "./instant.ts";
-import { leading } from "./leading.ts";
-import { output } from "./output.ts";
+import { followerRole } from "./follower_role.ts";
+import type { ClockReading } from "./clock_reading.ts";
+import { leaderRole } from "./leader_role.ts";
+import { emit } from "./emit.ts";
 import type { ReplicaEffect } from "./replica_effect.ts";
 import type { ReplicaEvent } from "./replica_event.ts";
 import { ReplicaRole } from "./replica_role.ts";
 import type { ReplicaSettings } from "./replica_settings.ts";
 import type { ReplicaState } from "./replica_state.ts";
 import { restoreState } from "./restore_state.ts";
-import { sending } from "./sending.ts";
+import { replication } from "./replication.ts";
 import type { StoredReplica } from "./stored_replica.ts";
 
 /**
- * One member of a replicated log, after Raft (Ongaro and Ousterhout, 2014),
- * with pre-vote, a quorum check, leases, confirmed reads, learners, single
- * member changes and chunked snapshots. It does no I/O: `handle` takes an
- * event and returns what its owner must do.
+ * One member of a replicated log, based on Raft (Ongaro and Ousterhout, 2014)
+ * with pre-vote, quorum checks, leader leases, linearizable reads (read index),
+ * learners, single-server membership changes and chunked snapshots. It does no
+ * I/O: `handle` takes an event and returns the effects for its owner to carry
+ * out.
  *
  * @public
  * @example
@@ -35,7 +36,7 @@
 
   constructor(
     settings: ReplicaSettings,
-    options: { random: Random; stored: StoredReplica; at: Instant },
+    options: { random: Random; stored: StoredReplica; at: ClockReading },
   ) {
     this.#state = restoreState(settings, options);
   }
@@ -74,29 +75,29 @@
   }
 
   /**
-   * The end of the leader's lease on the `now` clock, 0 without one. Check it
-   * at the last step before bytes leave.
+   * End of the leader lease on the `now` clock; 0 without a lease. Check it
+   * immediately before sending anything that depends on it.
    */
   get leaseUntil(): Milliseconds {
     const leadership = this.#state.leadership;
-    if (leadership === undefined || leadership.transferring) {
+    if (leadership === undefined || leadership.isTransferring) {
       return 0;
     }
-    const ready = this.#state.commitIndex >= leadership.firstIndex;
+    const ready = this.#state.commitIndex >= leadership.termStartIndex;
     return ready ? leadership.leaseUntil : 0;
   }
 
-  /** How far a member holds the log, as its leader knows it. */
+  /** Last log index that a member is known to have; 0 unless leading. */
   matchIndexOf(id: string): number {
     return this.#state.leadership?.progress.get(id)?.matchIndex ?? 0;
   }
 
-  /** When its leader last heard a member, on the `now` clock. */
-  heardAtOf(id: string): Milliseconds {
-    return this.#state.leadership?.progress.get(id)?.heardAt ?? Infinity;
+  /** Last reply of a member, on the `now` clock; Infinity unless leading. */
+  lastContactAt(id: string): Milliseconds {
+    return this.#state.leadership?.progress.get(id)?.lastContactAt ?? Infinity;
   }
 
-  handle(event: ReplicaEvent, at: Instant): ReplicaEffect[] {
+  handle(event: ReplicaEvent, at: ClockReading): ReplicaEffect[] {
     const state = this.#state;
     state.effects = [];
     switch (event.kind) {
@@ -113,14 +114,14 @@
         changeMembers(state, event, at);
         break;
       case "read":
-        leading.read(state, event.token, at);
+        leaderRole.startRead(state, event.token, at);
         break;
       case "persisted":
-        committing.onPersisted(state, event.number);
-        leading.confirmRounds(state, at);
+        commitment.onPersisted(state, event.number);
+        leaderRole.confirmRounds(state, at);
         break;
       case "snapshot_taken":
-        compact(state, event);
+        compactLog(state, event);
         break;
       case "step_down":
         transferLeadership(state, at);
@@ -128,61 +129,61 @@
       default:
         unreachable(event);
     }
-    stopLeadingWhenRemoved(state, at);
+    stepDownWhenRemoved(state, at);
     return state.effects;
   }
 }
 
-function onTick(state: ReplicaState, at: Instant): void {
-  const steppingDown = leading.hasLostQuorum(state, at) ||
-    leading.hasFailedTransfer(state, at);
-  if (steppingDown) {
+function onTick(state: ReplicaState, at: ClockReading): void {
+  const mustStepDown = leaderRole.hasLostQuorum(state, at) ||
+    leaderRole.hasFailedTransfer(state, at);
+  if (mustStepDown) {
     election.becomeFollower(state, state.term, "", at);
     return;
   }
-  leading.tick(state, at);
-  election.startIfDue(state, at);
+  leaderRole.tick(state, at);
+  election.startPreVoteIfDue(state, at);
 }
 
 function onMessage(
   state: ReplicaState,
   message: ConsensusMessage,
-  at: Instant,
+  at: ClockReading,
 ): void {
   switch (message.kind) {
     case "vote_request":
-      election.onRequest(state, message, at);
+      election.onVoteRequest(state, message, at);
       return;
     case "vote_reply":
-      election.onReply(state, message, at);
+      election.onVoteReply(state, message, at);
       return;
     case "append":
-      if (election.acceptsLeader(state, message, at)) {
-        following.onAppend(state, message);
+      if (election.acceptLeader(state, message, at)) {
+        followerRole.onAppend(state, message);
       } else {
-        following.refuseOldTerm(state, message);
+        followerRole.rejectStaleTerm(state, message);
       }
       return;
     case "snapshot_chunk":
-      if (election.acceptsLeader(state, message, at)) {
-        following.onSnapshotChunk(state, message);
+      if (election.acceptLeader(state, message, at)) {
+        followerRole.onSnapshotChunk(state, message);
       } else {
-        following.refuseOldTerm(state, message);
+        followerRole.rejectStaleTerm(state, message);
       }
       return;
     case "append_reply":
-      if (!stepsDownFor(state, message.term, at)) {
-        leading.onAppendReply(state, message, at);
+      if (!stepDownOnNewerTerm(state, message.term, at)) {
+        leaderRole.onAppendReply(state, message, at);
       }
       return;
     case "snapshot_reply":
-      if (!stepsDownFor(state, message.term, at)) {
-        leading.onSnapshotReply(state, message, at);
+      if (!stepDownOnNewerTerm(state, message.term, at)) {
+        leaderRole.onSnapshotReply(state, message, at);
       }
       return;
     case "transfer":
       if (message.term === state.term) {
-        election.startTransfer(state, at);
+        election.startTransferElection(state, at);
       }
       return;
     default:
@@ -190,10 +191,10 @@
   }
 }
 
-function stepsDownFor(
+function stepDownOnNewerTerm(
   state: ReplicaState,
   term: number,
-  at: Instant,
+  at: ClockReading,
 ): boolean {
   if (term <= state.term) {
     return false;
@@ -205,23 +206,23 @@
 function propose(
   state: ReplicaState,
   event: { token: string; command: unknown },
-  at: Instant,
+  at: ClockReading,
 ): void {
-  if (!mayPropose(state, event.token)) {
+  if (!ensureCanPropose(state, event.token)) {
     return;
   }
-  const index = leading.append(state, {
+  const index = leaderRole.append(state, {
     kind: "command",
     payload: event.command,
   });
-  state.proposals.set(index, { token: event.token, term: state.term });
-  sending.entriesToAll(state, at);
+  state.pendingProposals.set(index, { token: event.token, term: state.term });
+  replication.sendEntriesToAll(state, at);
 }
 
-function mayPropose(state: ReplicaState, token: string): boolean {
+function ensureCanPropose(state: ReplicaState, token: string): boolean {
   const leadership = state.leadership;
-  if (leadership === undefined || leadership.transferring) {
-    output.reject(state, token, "not_leader");
+  if (leadership === undefined || leadership.isTransferring) {
+    emit.reject(state, token, "not_leader");
     return false;
   }
   return true;
@@ -230,27 +231,27 @@
 function changeMembers(
   state: ReplicaState,
   event: { token: string; members: readonly ReplicaMember[] },
-  at: Instant,
+  at: ClockReading,
 ): void {
-  if (!mayPropose(state, event.token)) {
+  if (!ensureCanPropose(state, event.token)) {
     return;
   }
-  const ready = state.commitIndex >= state.leadership!.firstIndex &&
+  const ready = state.commitIndex >= state.leadership!.termStartIndex &&
     state.membersIndex <= state.commitIndex;
-  if (!ready || votersChanged(state, event.members) > 1) {
-    output.reject(state, event.token, "members_busy");
+  if (!ready || countChangedVoters(state, event.members) > 1) {
+    emit.reject(state, event.token, "members_busy");
     return;
   }
-  const index = leading.append(state, {
+  const index = leaderRole.append(state, {
     kind: "members",
     payload: event.members,
   });
-  state.proposals.set(index, { token: event.token, term: state.term });
-  sending.startRound(state, at);
+  state.pendingProposals.set(index, { token: event.token, term: state.term });
+  replication.startHeartbeatRound(state, at);
 }
 
-/** Two majorities meet only when voters change one at a time. */
-function votersChanged(
+/** Majorities surely overlap only if at most one voter changes at a time. */
+function countChangedVoters(
   state: ReplicaState,
   members: readonly ReplicaMember[],
 ): number {
@@ -265,14 +266,14 @@
   return removed.length + added.length;
 }
 
-function compact(
+function compactLog(
   state: ReplicaState,
   event: { index: number; data: string },
 ): void {
   const term = state.log.termAt(event.index);
-  const stale = event.index <= state.snapshot.lastIndex ||
+  const isStale = event.index <= state.snapshot.lastIndex ||
     event.index > state.appliedIndex || term === undefined;
-  if (stale) {
+  if (isStale) {
     return;
   }
   const snapshot: LogSnapshot = {
@@ -288,16 +289,16 @@
     event.index + 1,
     state.log.lastIndex - event.index,
   );
-  output.persist(state, [
+  emit.persist(state, [
     { kind: "vote", term: state.term, votedFor: state.votedFor },
     { kind: "entries", entries },
   ], snapshot);
 }
 
-/** Member list as of a log index that is still in memory. */
+/** Member list as of a log index that is not yet compacted. */
 function membersAt(state: ReplicaState, index: number): ReplicaMember[] {
-  for (let at = index; at > state.log.baseIndex; at -= 1) {
-    const entry = state.log.entryAt(at);
+  for (let current = index; current > state.log.baseIndex; current -= 1) {
+    const entry = state.log.entryAt(current);
     if (entry?.kind === "members") {
       return entry.payload as ReplicaMember[];
     }
@@ -305,13 +306,13 @@
   return [...state.snapshot.members];
 }
 
-/** Gives leadership to the member that holds most of the log. */
-function transferLeadership(state: ReplicaState, at: Instant): void {
+/** Transfers leadership to the voter with the most complete log. */
+function transferLeadership(state: ReplicaState, at: ClockReading): void {
   const leadership = state.leadership;
   if (leadership === undefined) {
     return;
   }
-  leadership.transferring = true;
+  leadership.isTransferring = true;
   leadership.transferStartedAt = at.now;
   const candidates = state.members
     .filter((member) => member.voter && member.id !== state.settings.id)
@@ -320,25 +321,25 @@
       matchIndex: leadership.progress.get(member.id)?.matchIndex ?? 0,
     }))
     .sort((left, right) => right.matchIndex - left.matchIndex);
-  const best = candidates[0];
-  if (best === undefined) {
+  const successor = candidates[0];
+  if (successor === undefined) {
     return;
   }
-  sending.entriesTo(state, best.id, at);
-  output.send(state, best.id, {
+  replication.sendEntriesTo(state, successor.id, at);
+  emit.send(state, successor.id, {
     kind: "transfer",
     term: state.term,
     from: state.settings.id,
   });
 }
 
-/** A leader that is no longer a member leads until its removal commits. */
-function stopLeadingWhenRemoved(state: ReplicaState, at: Instant): void {
-  const removed = state.leadership !== undefined &&
+/** A leader that is no longer a voter leads until its removal commits. */
+function stepDownWhenRemoved(state: ReplicaState, at: ClockReading): void {
+  const isRemoved = state.leadership !== undefined &&
     !state.members.some((member) =>
       member.voter && member.id === state.settings.id
     ) && state.membersIndex <= state.commitIndex;
-  if (removed) {
+  if (isRemoved) {
     election.becomeFollower(state, state.term, "", at);
   }
 }
