--- a/apps/heroncleatd/control/claim_expiry.ts
+++ b/apps/heroncleatd/control/claim_expiry.ts
@@ -5,7 +5,7 @@
 const EXPIRY_INTERVAL: Milliseconds = 60_000;
 const PROPOSAL_TIMEOUT: Milliseconds = 2000;
 
-/** Periodically removes claims past their retention while this replica leads. */
+/** Removes claims past their retention while this replica is the leader. */
 export class ClaimExpiry {
   readonly #replica: ReplicaAccess;
   readonly #retention: Milliseconds;
--- a/apps/heroncleatd/control/confirmed_reads.ts
+++ b/apps/heroncleatd/control/confirmed_reads.ts
@@ -17,8 +17,8 @@
 /**
  * Makes reads of the local state linearizable: confirms through a quorum that
  * this replica has applied every command committed before the read started.
- * Reads that arrive while a confirmation is in flight share the next one, so
- * each replica has at most one read-index request open at the leader.
+ * Reads that arrive while a confirmation is in flight share the next one, so a
+ * replica sends the leader one read-index request at a time.
  */
 export class ConfirmedReads {
   readonly #replica: ReadableReplica;
--- a/apps/heroncleatd/control/start_control.ts
+++ b/apps/heroncleatd/control/start_control.ts
@@ -136,8 +136,8 @@
 
   /**
    * Serves join requests until the replica runs. A replica that has a group
-   * must report it from its first response. Otherwise a peer with a lost disk could
-   * take restarting replicas for empty ones and bootstrap a second group.
+   * must report it from its first response. Otherwise a peer with a lost disk
+   * could take restarting replicas for empty ones and bootstrap a second group.
    */
   #serveJoinRequests(): void {
     const { self, founders } = this.#resources;
@@ -267,8 +267,8 @@
     const actor: Actor<ReplicaMessage> = new Actor(system, {
       name: "replica",
       log,
-      // An exception between two effects leaves the in-memory state inconsistent.
-      // The journal is consistent, so a restart recovers.
+      // An exception between two effects leaves the state in memory
+      // inconsistent. The journal is consistent, so a restart recovers.
       handle: (message) => {
         try {
           host.handle(message);
