--- a/apps/heroncleatd/entry/admission_answer.ts
+++ b/apps/heroncleatd/entry/admission_result.ts
@@ -1,6 +1,6 @@
 import type { Fault } from "@heroncleat/base";
 
 /** Whether a request may run now. */
-export type AdmissionAnswer =
+export type AdmissionResult =
   | { readonly kind: "admitted" }
   | { readonly kind: "refused"; readonly fault: Fault };
--- a/apps/heroncleatd/entry/admit.ts
+++ b/apps/heroncleatd/entry/admit.ts
@@ -2,7 +2,7 @@
 import { createFault } from "@heroncleat/base";
 import type { RoutedRequest } from "@heroncleat/routing";
 import type { Actor } from "../common/actor.ts";
-import type { AdmissionAnswer } from "./admission_answer.ts";
+import type { AdmissionResult } from "./admission_result.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 
 /** Asks whether a request may run, and waits in the queue if it must. */
@@ -12,7 +12,7 @@
     request: AdmissionRequest;
     target: Pick<RoutedRequest, "model" | "service">;
   },
-): Promise<AdmissionAnswer> {
+): Promise<AdmissionResult> {
   return new Promise((resolve) => {
     const sent = dispatch.send({
       kind: "admit",
--- a/apps/heroncleatd/entry/build_upstream_body.ts
+++ b/apps/heroncleatd/entry/build_upstream_body.ts
@@ -24,46 +24,49 @@
   options: { pieces: readonly TextPiece[]; kvSource: string },
 ): Record<string, unknown> {
   const body = JSON.parse(record.body) as CallerBody;
-  const emitted = options.pieces.map((piece) => piece.text).join("");
-  const built: Record<string, unknown> = {
+  const emittedText = options.pieces.map((chunk) => chunk.text).join("");
+  const upstreamBody: Record<string, unknown> = {
     ...body,
     stream: true,
     stream_options: { include_usage: true },
     priority: PRIORITY_RANK[record.priority],
   };
   if (body.max_tokens !== undefined) {
-    built["max_tokens"] = remainingTokens(body.max_tokens, options.pieces);
+    upstreamBody["max_tokens"] = remainingTokens(
+      body.max_tokens,
+      options.pieces,
+    );
   }
   if (options.kvSource !== "") {
-    built["kv_transfer_params"] = {
+    upstreamBody["kv_transfer_params"] = {
       do_remote_prefill: true,
       remote_engine_id: options.kvSource,
       remote_request_id: record.id,
     };
   }
-  if (emitted === "") {
-    return built;
+  if (emittedText === "") {
+    return upstreamBody;
   }
   if (record.kind === "completion") {
-    built["prompt"] = `${body.prompt ?? ""}${emitted}`;
-    return built;
+    upstreamBody["prompt"] = `${body.prompt ?? ""}${emittedText}`;
+    return upstreamBody;
   }
-  built["messages"] = [
+  upstreamBody["messages"] = [
     ...body.messages ?? [],
-    { role: "assistant", content: emitted },
+    { role: "assistant", content: emittedText },
   ];
-  built["continue_final_message"] = true;
-  built["add_generation_prompt"] = false;
-  return built;
+  upstreamBody["continue_final_message"] = true;
+  upstreamBody["add_generation_prompt"] = false;
+  return upstreamBody;
 }
 
 function remainingTokens(
-  most: number,
+  maxTokens: number,
   pieces: readonly TextPiece[],
 ): number {
-  let left = most;
-  for (const piece of pieces) {
-    left -= piece.tokens;
+  let remaining = maxTokens;
+  for (const chunk of pieces) {
+    remaining -= chunk.tokens;
   }
-  return Math.max(0, left);
+  return Math.max(0, remaining);
 }
--- a/apps/heroncleatd/entry/caller_server.ts
+++ b/apps/heroncleatd/entry/caller_server.ts
@@ -12,17 +12,17 @@
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import { handleAnnouncement } from "./handle_announcement.ts";
-import { handleAnswer } from "./handle_answer.ts";
+import { handleRetrieval } from "./handle_retrieval.ts";
 import { handleDiscovery } from "./handle_discovery.ts";
 import { handleGeneration } from "./handle_generation.ts";
 import { handleModels } from "./handle_models.ts";
 import { handleService } from "./handle_service.ts";
-import { otherEntries } from "./other_entries.ts";
+import { listOtherEntries } from "./list_other_entries.ts";
 import { parseServicePath } from "./parse_service_path.ts";
 
-const ANSWER_PATH = /^\/v1\/requests\/([^/]+)$/;
-const MOST_HEADER_BYTES = 16 * 1024;
-const KEEP_ALIVE_TIMEOUT = 65_000;
+const RESPONSE_PATH = /^\/v1\/requests\/([^/]+)$/;
+const MAX_HEADER_BYTES = 16 * 1024;
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
 /** Serves callers and upstreams over HTTP. */
 export class CallerServer {
@@ -36,11 +36,11 @@
     this.#upstreamKeys = new KeyRing({ upstream: sharedSecret });
     this.#server = createServer(
       {
-        maxHeaderSize: MOST_HEADER_BYTES,
+        maxHeaderSize: MAX_HEADER_BYTES,
         requestTimeout: entry.header_timeout,
         headersTimeout: entry.header_timeout,
         connectionsCheckingInterval: entry.header_timeout / 2,
-        keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
+        keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       },
       (request, response) => {
         this.#handle(request, response).catch((error: Error) =>
@@ -104,7 +104,7 @@
     const key = readBearer(request);
     const workspace = this.#parts.context.callers.holderOf(key);
     if (workspace === undefined) {
-      sendFault(response, describeUnknownKey(key));
+      sendFault(response, createKeyFault(key));
       return;
     }
     await this.#route({ request, response, url, workspace });
@@ -113,17 +113,21 @@
   async #route(call: CallerRequest): Promise<void> {
     const path = call.url.pathname;
     const { method } = call.request;
-    const answer = ANSWER_PATH.exec(path);
-    if (method === "GET" && answer !== null) {
-      await handleAnswer(this.#parts, call, decodeURIComponent(answer[1]!));
+    const responseMatch = RESPONSE_PATH.exec(path);
+    if (method === "GET" && responseMatch !== null) {
+      await handleRetrieval(
+        this.#parts,
+        call,
+        decodeURIComponent(responseMatch[1]!),
+      );
       return;
     }
     if (method === "GET" && path === "/v1/models") {
       await handleModels(this.#parts, call);
       return;
     }
-    if (this.#parts.isLeaving()) {
-      this.#refuseLeaving(call.response);
+    if (this.#parts.isShuttingDown()) {
+      this.#refuseDuringShutdown(call.response);
       return;
     }
     if (method === "POST" && path === "/v1/chat/completions") {
@@ -148,7 +152,7 @@
     );
   }
 
-  #refuseLeaving(response: ServerResponse): void {
+  #refuseDuringShutdown(response: ServerResponse): void {
     response.setHeader("connection", "close");
     sendFault(
       response,
@@ -157,18 +161,19 @@
         "This entry is stopping. Remedy: send the request to another entry.",
         { retryAfter: 0 },
       ),
-      { entries: otherEntries(this.#parts) },
+      { entries: listOtherEntries(this.#parts) },
     );
   }
 
   #sendHealth(response: ServerResponse): void {
-    const { context, isInformed, isLeaving } = this.#parts;
-    const serving = context.lease.isValid && isInformed() && !isLeaving();
+    const { context, isSynchronized, isShuttingDown } = this.#parts;
+    const serving = context.lease.isValid && isSynchronized() &&
+      !isShuttingDown();
     sendJson(response, serving ? 200 : 503, {
       name: context.name,
       zone: context.zone,
       serving,
-      leaving: isLeaving(),
+      leaving: isShuttingDown(),
     });
   }
 
@@ -185,7 +190,7 @@
   }
 }
 
-function describeUnknownKey(key: string) {
+function createKeyFault(key: string) {
   return key === ""
     ? createFault(
       "unauthorized",
--- a/apps/heroncleatd/entry/claim_client.ts
+++ b/apps/heroncleatd/entry/claim_client.ts
@@ -9,7 +9,7 @@
 import type { ControlClient } from "../common/control_client.ts";
 
 /** What became of a proposal at the control group. */
-type Proposal<Result> =
+type ProposalReply<Result> =
   | { readonly kind: "done"; readonly result: Result }
   | { readonly kind: "not_leader"; readonly leader: string }
   | { readonly kind: "unknown" };
@@ -18,8 +18,8 @@
   | { readonly kind: "found"; readonly claim: Claim | null }
   | { readonly kind: "not_leader"; readonly leader: string };
 
-const RESOLVE_TIMEOUT = 3000;
-const FIND_TIMEOUT = 2000;
+const RESOLVE_TIMEOUT_MS = 3000;
+const FIND_TIMEOUT_MS = 2000;
 
 /** Asks the ledger about claims of non-idempotent requests. */
 export class ClaimClient {
@@ -34,7 +34,7 @@
     command: ClaimCommand,
     timeout: Milliseconds,
   ): Promise<ClaimReply | undefined> {
-    const reply = await this.#control.call<Proposal<ClaimReply>>(
+    const reply = await this.#control.call<ProposalReply<ClaimReply>>(
       "control.propose",
       { parameters: { command, timeout }, timeout },
     );
@@ -55,11 +55,11 @@
       at: 0,
       ...result,
     };
-    const reply = await this.#control.call<Proposal<Claim | null>>(
+    const reply = await this.#control.call<ProposalReply<Claim | null>>(
       "control.propose",
       {
-        parameters: { command, timeout: RESOLVE_TIMEOUT },
-        timeout: RESOLVE_TIMEOUT,
+        parameters: { command, timeout: RESOLVE_TIMEOUT_MS },
+        timeout: RESOLVE_TIMEOUT_MS,
       },
     );
     return reply.kind === "done";
@@ -69,7 +69,7 @@
   async find(workspace: string, key: string): Promise<Claim | undefined> {
     const reply = await this.#control.call<FindReply>("control.find_claim", {
       parameters: { workspace, key },
-      timeout: FIND_TIMEOUT,
+      timeout: FIND_TIMEOUT_MS,
     });
     return reply.kind === "found" ? reply.claim ?? undefined : undefined;
   }
--- a/apps/heroncleatd/entry/configuration_lease.ts
+++ b/apps/heroncleatd/entry/configuration_lease.ts
@@ -6,18 +6,18 @@
  */
 export class ConfigurationLease {
   readonly #clock: Clock;
-  #until: Milliseconds = 0;
+  #validUntil: Milliseconds = 0;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
   get isValid(): boolean {
-    return this.#clock.now() < this.#until;
+    return this.#clock.now() < this.#validUntil;
   }
 
   /** Extends the lease from the moment the confirmed read was asked for. */
-  extend(askedAt: Milliseconds, length: Milliseconds): void {
-    this.#until = Math.max(this.#until, askedAt + length);
+  extend(requestedAt: Milliseconds, duration: Milliseconds): void {
+    this.#validUntil = Math.max(this.#validUntil, requestedAt + duration);
   }
 }
--- a/apps/heroncleatd/entry/configuration_renewer.ts
+++ b/apps/heroncleatd/entry/configuration_renewer.ts
@@ -3,7 +3,7 @@
 import type { EntryContext } from "./entry_context.ts";
 
 /** Answer of a replica to a renewal. */
-type Renewal =
+type RenewalReply =
   | {
     readonly kind: "renewed";
     readonly revision: number;
@@ -22,8 +22,8 @@
   readonly #onView: (view: ConfigurationView) => void;
   readonly #follower = new ConfigurationFollower();
   #timer: NodeJS.Timeout | undefined;
-  #stopped = false;
-  #failing = false;
+  #isStopped = false;
+  #isFailing = false;
 
   constructor(
     context: EntryContext,
@@ -38,14 +38,14 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     clearTimeout(this.#timer);
   }
 
   async #renew(): Promise<void> {
     const { clock, control, entry, lease } = this.#context;
-    const askedAt = clock.now();
-    const reply = await control.call<Renewal>("control.renew", {
+    const requestedAt = clock.now();
+    const reply = await control.call<RenewalReply>("control.renew", {
       parameters: {
         entry: this.#context.name,
         revision: this.#follower.view.revision,
@@ -53,41 +53,41 @@
       timeout: entry.configuration_lease,
     });
     if (reply.kind === "renewed") {
-      this.#take(reply);
-      lease.extend(askedAt, entry.configuration_lease);
+      this.#applyReply(reply);
+      lease.extend(requestedAt, entry.configuration_lease);
     }
-    this.#noteOutcome(reply.kind === "renewed");
-    if (!this.#stopped) {
+    this.#recordOutcome(reply.kind === "renewed");
+    if (!this.#isStopped) {
       this.#timer = setTimeout(() => void this.#renew(), entry.renew_interval);
     }
   }
 
-  #take(reply: Extract<Renewal, { kind: "renewed" }>): void {
-    const first = this.#follower.view.revision === 0;
-    const moved = reply.catchUp.kind === "view"
+  #applyReply(reply: Extract<RenewalReply, { kind: "renewed" }>): void {
+    const isFirst = this.#follower.view.revision === 0;
+    const hasChanged = reply.catchUp.kind === "view"
       ? this.#follower.takeView(reply.catchUp.view)
       : this.#follower.takeEdits(reply.catchUp.edits);
-    if (moved || first) {
+    if (hasChanged || isFirst) {
       this.#onView(this.#follower.view);
     }
-    if (moved) {
+    if (hasChanged) {
       this.#context.log("configuration").info(
         `Revision ${this.#follower.view.revision} is in force`,
       );
     }
   }
 
-  #noteOutcome(renewed: boolean): void {
+  #recordOutcome(isRenewed: boolean): void {
     const log = this.#context.log("configuration");
-    if (!renewed && !this.#failing) {
+    if (!isRenewed && !this.#isFailing) {
       log.warn("The lease can't be renewed; new work will be refused");
     }
-    if (renewed && this.#failing) {
+    if (isRenewed && this.#isFailing) {
       log.info("The lease is renewed again");
     }
-    this.#failing = !renewed;
+    this.#isFailing = !isRenewed;
     this.#context.metrics.increment(
-      renewed ? "configuration.renewed" : "configuration.renew_failed",
+      isRenewed ? "configuration.renewed" : "configuration.renew_failed",
     );
   }
 }
--- a/apps/heroncleatd/entry/copy_sender.ts
+++ b/apps/heroncleatd/entry/copy_sender.ts
@@ -13,8 +13,8 @@
 type Outbox = { queue: QueuedCopy[]; inFlight: number };
 
 /** Calls to one entry that may be under way at once. */
-const MOST_IN_FLIGHT = 4;
-const MOST_COPIES = 256;
+const MAX_IN_FLIGHT_CALLS = 4;
+const MAX_COPIES_PER_CALL = 256;
 
 /**
  * Sends the copies of all requests to their standbys. Copies that are ready
@@ -44,10 +44,10 @@
   }
 
   #flush(address: string, outbox: Outbox): void {
-    if (outbox.queue.length === 0 || outbox.inFlight >= MOST_IN_FLIGHT) {
+    if (outbox.queue.length === 0 || outbox.inFlight >= MAX_IN_FLIGHT_CALLS) {
       return;
     }
-    const batch = outbox.queue.splice(0, MOST_COPIES);
+    const batch = outbox.queue.splice(0, MAX_COPIES_PER_CALL);
     outbox.inFlight += 1;
     void this.#call(address, batch).finally(() => {
       outbox.inFlight -= 1;
@@ -61,8 +61,8 @@
         parameters: { copies: batch.map((copy) => copy.message) },
         timeout: this.#timeout,
       }) as CopyReply[];
-      for (const [place, copy] of batch.entries()) {
-        copy.resolve(replies[place]!);
+      for (const [index, copy] of batch.entries()) {
+        copy.resolve(replies[index]!);
       }
     } catch (error) {
       for (const copy of batch) {
--- a/apps/heroncleatd/entry/dispatch_message.ts
+++ b/apps/heroncleatd/entry/dispatch_message.ts
@@ -6,8 +6,8 @@
   CacheEvent,
   ConfigurationView,
 } from "@heroncleat/schema";
-import type { AdmissionAnswer } from "./admission_answer.ts";
-import type { RouteAnswer } from "./route_answer.ts";
+import type { AdmissionResult } from "./admission_result.ts";
+import type { RouteResult } from "./route_result.ts";
 
 /** Messages to the actor that owns routing and admission. */
 export type DispatchMessage =
@@ -25,7 +25,7 @@
     readonly kind: "admit";
     readonly request: AdmissionRequest;
     readonly target: Pick<RoutedRequest, "model" | "service">;
-    readonly reply: (answer: AdmissionAnswer) => void;
+    readonly reply: (answer: AdmissionResult) => void;
   }
   | {
     readonly kind: "release";
@@ -38,7 +38,7 @@
     readonly token: string;
     /** Whether an earlier attempt failed, so that the budget is charged. */
     readonly isRetry: boolean;
-    readonly reply: (answer: RouteAnswer) => void;
+    readonly reply: (answer: RouteResult) => void;
   }
   | {
     readonly kind: "first_token";
--- a/apps/heroncleatd/entry/service_dispatcher.ts
+++ b/apps/heroncleatd/entry/dispatch_service.ts
@@ -1,17 +1,17 @@
 import { createFault, type Fault } from "@heroncleat/base";
 import type { EntryParts } from "./entry_parts.ts";
-import type { RouteAnswer } from "./route_answer.ts";
+import type { RouteResult } from "./route_result.ts";
 import { sendOnce } from "./send_once.ts";
 import type { ServiceCall } from "./service_call.ts";
 import type { ServiceOutcome } from "./service_outcome.ts";
-import { withhold } from "./withhold.ts";
+import { findSuspectFault } from "./find_suspect_fault.ts";
 
 /** Attempts at one call, however quickly they fail. */
-const MOST_ATTEMPTS = 5;
+const MAX_ATTEMPTS = 5;
 const HTTP_SERVER_ERROR = 500;
 
 /** What is known of the attempts so far. */
-type Attempts = {
+type AttemptHistory = {
   readonly exclude: string[];
   /** Whether a byte of some attempt may have been acted on. */
   mayHaveRun: boolean;
@@ -26,13 +26,13 @@
   parts: EntryParts,
   call: ServiceCall,
 ): Promise<ServiceOutcome> {
-  const attempts: Attempts = {
+  const attempts: AttemptHistory = {
     exclude: [],
     mayHaveRun: false,
     lastFault: createFault("no_upstream", "No upstream was tried."),
   };
-  for (let attempt = 1; attempt <= MOST_ATTEMPTS; attempt += 1) {
-    const outcome = await tryOne(parts, call, { attempt, attempts });
+  for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
+    const outcome = await tryOnce(parts, call, { attempt, attempts });
     if (outcome !== undefined) {
       return outcome;
     }
@@ -41,72 +41,74 @@
 }
 
 /** One attempt; nothing when another may follow. */
-async function tryOne(
+async function tryOnce(
   parts: EntryParts,
   call: ServiceCall,
-  options: { attempt: number; attempts: Attempts },
+  options: { attempt: number; attempts: AttemptHistory },
 ): Promise<ServiceOutcome | undefined> {
   const { attempts } = options;
-  const { clock, upstreams, crashes, startOf } = parts.context;
+  const { clock, upstreams, crashes, instanceIdOf } = parts.context;
   await crashes.decided(call.identity);
-  const withheld = withhold(crashes, call.identity);
-  if (withheld !== undefined) {
-    attempts.lastFault = withheld;
+  const suspectFault = findSuspectFault(crashes, call.identity);
+  if (suspectFault !== undefined) {
+    attempts.lastFault = suspectFault;
     return giveUp(attempts);
   }
   const token = `${call.token}#${options.attempt}`;
-  const answer = await route(parts, call, { token, attempts });
-  if (answer.kind === "unroutable") {
-    attempts.lastFault = answer.fault;
+  const routing = await route(parts, call, { token, attempts });
+  if (routing.kind === "unroutable") {
+    attempts.lastFault = routing.fault;
     return giveUp(attempts);
   }
-  const { upstream, address } = answer.choice;
-  const left = call.until - clock.now();
+  const { upstream, address } = routing.choice;
+  const remaining = call.deadlineAt - clock.now();
   // The last step before bytes leave.
-  if (!parts.context.lease.isValid || left <= 0) {
+  if (!parts.context.lease.isValid || remaining <= 0) {
     parts.dispatch.send({ kind: "ended", upstream, token, outcome: "neutral" });
-    attempts.lastFault = describeTooLate(left);
+    attempts.lastFault = createNotSentFault(remaining);
     return giveUp(attempts);
   }
   const sentAt = clock.steady();
-  const start = startOf(upstream);
-  const endTurn = crashes.begin(call.identity);
-  const sent = await sendOnce(call, {
+  const instance = instanceIdOf(upstream);
+  const endTrackedRun = crashes.begin(call.identity);
+  const result = await sendOnce(call, {
     agent: upstreams,
     address,
     attempt: token,
-    timeout: left,
+    timeout: remaining,
   });
-  endTurn();
-  if (sent.kind === "answered") {
+  endTrackedRun();
+  if (result.kind === "answered") {
     crashes.noteAnswer(call.identity);
   } else if (
-    sent.kind === "unknown" && sent.isBroken &&
-    !parts.context.isLeavingUpstream(upstream)
+    result.kind === "unknown" && result.isBroken &&
+    !parts.context.isDepartingUpstream(upstream)
   ) {
-    crashes.noteBreak(call.identity, { upstream: start, address, sentAt });
+    crashes.noteBreak(call.identity, { upstream: instance, address, sentAt });
   }
-  const good = sent.kind === "answered" &&
-    sent.outcome.status < HTTP_SERVER_ERROR;
-  const outcome = good ? "succeeded" : "failed";
+  const hasSucceeded = result.kind === "answered" &&
+    result.outcome.status < HTTP_SERVER_ERROR;
+  const outcome = hasSucceeded ? "succeeded" : "failed";
   parts.dispatch.send({ kind: "ended", upstream, token, outcome });
-  if (sent.kind === "answered" && (good || !call.isIdempotent)) {
-    return sent;
+  if (result.kind === "answered" && (hasSucceeded || !call.isIdempotent)) {
+    return result;
   }
   attempts.exclude.push(upstream);
-  attempts.mayHaveRun ||= sent.kind !== "not_run";
-  attempts.lastFault = describeFailure(
-    sent.kind === "answered" ? `status ${sent.outcome.status}` : sent.message,
+  attempts.mayHaveRun ||= result.kind !== "not_run";
+  attempts.lastFault = createFailureFault(
+    result.kind === "answered"
+      ? `status ${result.outcome.status}`
+      : result.message,
   );
-  const mayRepeat = call.isIdempotent || sent.kind === "not_run";
-  return mayRepeat ? undefined : giveUp(attempts);
+  const canRetry = call.isIdempotent || result.kind === "not_run";
+  return canRetry ? undefined : giveUp(attempts);
 }
 
 function route(
   parts: EntryParts,
   call: ServiceCall,
-  options: { token: string; attempts: Attempts },
-): Promise<RouteAnswer> {
+  options: { token: string; attempts: AttemptHistory },
+): Promise<RouteResult> {
   const { token, attempts } = options;
   const exclude = [...attempts.exclude];
   return new Promise((resolve) => {
@@ -120,15 +122,15 @@
   });
 }
 
-function giveUp(attempts: Attempts): ServiceOutcome {
+function giveUp(attempts: AttemptHistory): ServiceOutcome {
   const { lastFault, mayHaveRun } = attempts;
   return mayHaveRun
     ? { kind: "unknown", fault: { ...lastFault, run: "unknown" } }
     : { kind: "not_run", fault: { ...lastFault, run: "not-run" } };
 }
 
-function describeTooLate(left: number): Fault {
-  return left <= 0
+function createNotSentFault(remaining: number): Fault {
+  return remaining <= 0
     ? createFault(
       "timeout",
       "The deadline passed before the call was sent. Remedy: send it again " +
@@ -141,7 +143,7 @@
     );
 }
 
-function describeFailure(message: string): Fault {
+function createFailureFault(message: string): Fault {
   return createFault(
     "upstream_failed",
     `The service did not answer (${message}). Remedy: come back after ` +
--- a/apps/heroncleatd/entry/service_dispatcher_test.ts
+++ b/apps/heroncleatd/entry/dispatch_service_test.ts
@@ -5,7 +5,7 @@
 import { Agent } from "undici";
 import type { EntryParts } from "./entry_parts.ts";
 import type { ServiceCall } from "./service_call.ts";
-import { dispatchService } from "./service_dispatcher.ts";
+import { dispatchService } from "./dispatch_service.ts";
 
 const RUNS = Number(process.env["FUZZ_RUNS"] ?? 1) * 700;
 
@@ -106,8 +106,8 @@
   return {
     context: {
       clock: { now: () => performance.now(), steady: () => 0 },
-      startOf: (upstream: string) => upstream,
-      isLeavingUpstream: () => false,
+      instanceIdOf: (upstream: string) => upstream,
+      isDepartingUpstream: () => false,
       // The services of this test break off answers and stay.
       crashes: {
         decided: () => Promise.resolve(),
@@ -143,7 +143,7 @@
     body: Buffer.from("four at seven"),
     key: `key-${calls}`,
     isIdempotent,
-    until: performance.now() + 40,
+    deadlineAt: performance.now() + 40,
   };
 }
 
--- a/apps/heroncleatd/entry/entry_context.ts
+++ b/apps/heroncleatd/entry/entry_context.ts
@@ -17,9 +17,9 @@
   /** Requests under which upstreams ended. */
   readonly crashes: CrashWatch;
   /** The identity of the present start of an upstream, by its name. */
-  readonly startOf: (upstream: string) => string;
+  readonly instanceIdOf: (upstream: string) => string;
   /** Whether an upstream has said that it leaves, by its name. */
-  readonly isLeavingUpstream: (upstream: string) => boolean;
+  readonly isDepartingUpstream: (upstream: string) => boolean;
   /** Hashes a block of a prompt behind the blocks before it. */
   readonly chainHash: (text: string, seed: string) => string;
   /** Connections to upstreams; it never retries by itself. */
--- a/apps/heroncleatd/entry/hand_over_sender.ts
+++ b/apps/heroncleatd/entry/hand_over_sender.ts
@@ -9,7 +9,7 @@
 };
 
 /** A request that waits to be handed over. */
-type Waiting = {
+type PendingHandOver = {
   readonly id: string;
   readonly resolve: (owner: string | undefined) => void;
 };
@@ -20,7 +20,7 @@
  */
 export class HandOverSender {
   readonly #options: HandOverOptions;
-  readonly #waiting = new Map<string, Waiting[]>();
+  readonly #pending = new Map<string, PendingHandOver[]>();
 
   constructor(options: HandOverOptions) {
     this.#options = options;
@@ -29,27 +29,27 @@
   /** The new owner, or nothing when the standby did not take over. */
   send(standby: string, id: string): Promise<string | undefined> {
     return new Promise((resolve) => {
-      const waiting = this.#waiting.get(standby);
-      if (waiting !== undefined) {
-        waiting.push({ id, resolve });
+      const pending = this.#pending.get(standby);
+      if (pending !== undefined) {
+        pending.push({ id, resolve });
         return;
       }
-      this.#waiting.set(standby, [{ id, resolve }]);
+      this.#pending.set(standby, [{ id, resolve }]);
       setImmediate(() => void this.#flush(standby));
     });
   }
 
   async #flush(standby: string): Promise<void> {
-    const waiting = this.#waiting.get(standby) ?? [];
-    this.#waiting.delete(standby);
-    const ids = waiting.map(({ id }) => id);
-    const taken = await this.#ask(standby, ids);
-    for (const { id, resolve } of waiting) {
-      resolve(taken.includes(id) ? standby : undefined);
+    const pending = this.#pending.get(standby) ?? [];
+    this.#pending.delete(standby);
+    const ids = pending.map(({ id }) => id);
+    const takenOver = await this.#requestTakeOver(standby, ids);
+    for (const { id, resolve } of pending) {
+      resolve(takenOver.includes(id) ? standby : undefined);
     }
   }
 
-  async #ask(standby: string, ids: string[]): Promise<string[]> {
+  async #requestTakeOver(standby: string, ids: string[]): Promise<string[]> {
     const address = this.#options.addressOf(standby);
     if (address === undefined) {
       return [];
--- a/apps/heroncleatd/entry/handle_announcement.ts
+++ b/apps/heroncleatd/entry/handle_announcement.ts
@@ -9,7 +9,7 @@
 import { sendJson } from "../common/send_json.ts";
 import type { EntryParts } from "./entry_parts.ts";
 
-const MOST_BYTES = 64 * 1024;
+const MAX_BODY_BYTES = 64 * 1024;
 const CACHE_EVENTS_PATH = /^\/v1\/upstreams\/([^/]+)\/cache_events$/;
 
 /** Takes an upstream's announcement, or an event of its prefix cache. */
@@ -30,20 +30,20 @@
     );
     return;
   }
-  const body = await readLimitedBody(request, MOST_BYTES);
+  const body = await readLimitedBody(request, MAX_BODY_BYTES);
   if (body.isErr) {
     sendFault(response, body.error);
     return;
   }
   const cachePath = CACHE_EVENTS_PATH.exec(path);
   if (cachePath !== null) {
-    takeCacheEvent(parts, response, { body: body.value, name: cachePath[1]! });
+    applyCacheEvent(parts, response, { body: body.value, name: cachePath[1]! });
     return;
   }
-  takeAnnouncement(parts, response, body.value);
+  applyAnnouncement(parts, response, body.value);
 }
 
-function takeAnnouncement(
+function applyAnnouncement(
   parts: EntryParts,
   response: ServerResponse,
   body: Buffer,
@@ -60,7 +60,7 @@
   sendJson(response, 200, { lease: parts.context.entry.upstream_lease });
 }
 
-function takeCacheEvent(
+function applyCacheEvent(
   parts: EntryParts,
   response: ServerResponse,
   options: { body: Buffer; name: string },
--- a/apps/heroncleatd/entry/handle_discovery.ts
+++ b/apps/heroncleatd/entry/handle_discovery.ts
@@ -4,7 +4,7 @@
 import type { EntryParts } from "./entry_parts.ts";
 
 const MS_PER_SECOND = 1000;
-const MOST_ENTRIES = 12;
+const MAX_ENTRIES = 12;
 
 /**
  * Reports a caller which entries to use and how long it may keep the answer.
@@ -19,7 +19,7 @@
   const zone = url.searchParams.get("zone") ?? parts.context.zone;
   const entries = listEntries(parts.members(), {
     zone,
-    most: MOST_ENTRIES,
+    most: MAX_ENTRIES,
     random: Math.random,
   });
   const lifetime = parts.context.entry.discovery_lifetime;
--- a/apps/heroncleatd/entry/handle_generation.ts
+++ b/apps/heroncleatd/entry/handle_generation.ts
@@ -20,16 +20,16 @@
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import { identifyGeneration } from "./identify_generation.ts";
-import { otherEntries } from "./other_entries.ts";
-import type { OwnOutcome } from "./own_outcome.ts";
+import { listOtherEntries } from "./list_other_entries.ts";
+import type { OwnershipOutcome } from "./ownership_outcome.ts";
 import { promptText } from "./prompt_text.ts";
-import { readTerms } from "./read_terms.ts";
-import { sendAnswer } from "./send_answer.ts";
-import { withhold } from "./withhold.ts";
+import { readRequestOptions } from "./read_request_options.ts";
+import { sendResponse } from "./send_response.ts";
+import { findSuspectFault } from "./find_suspect_fault.ts";
 
 const CHARACTERS_PER_TOKEN = 4;
 /** Standbys tried before a request is refused. */
-const MOST_STANDBYS = 3;
+const MAX_STANDBY_ATTEMPTS = 3;
 
 /** Serves one chat or completion request. */
 export async function handleGeneration(
@@ -42,18 +42,18 @@
     sendFault(call.response, draft.error);
     return;
   }
-  const withheld = withhold(
+  const suspectFault = findSuspectFault(
     parts.context.crashes,
     identifyGeneration(draft.value),
   );
-  if (withheld !== undefined) {
-    sendFault(call.response, withheld);
+  if (suspectFault !== undefined) {
+    sendFault(call.response, suspectFault);
     return;
   }
   const token = createToken();
   const target = { model: draft.value.model, service: "" };
   const startedAt = parts.context.clock.now();
-  const answer = await admit(parts.dispatch, {
+  const admission = await admit(parts.dispatch, {
     request: {
       token,
       workspace: call.workspace,
@@ -62,16 +62,22 @@
     },
     target,
   });
-  if (answer.kind === "refused") {
-    sendFault(call.response, answer.fault, { entries: otherEntries(parts) });
+  if (admission.kind === "refused") {
+    sendFault(call.response, admission.fault, {
+      entries: listOtherEntries(parts),
+    });
     return;
   }
   const release = () => parts.dispatch.send({ kind: "release", token, target });
-  await serve(parts, call, { draft: draft.value, startedAt, release });
+  await acceptAndRespond(parts, call, {
+    draft: draft.value,
+    startedAt,
+    release,
+  });
 }
 
 /** Finds a second holder for the request and sends its answer. */
-async function serve(
+async function acceptAndRespond(
   parts: EntryParts,
   call: CallerRequest,
   options: {
@@ -82,8 +88,8 @@
 ): Promise<void> {
   const { draft, startedAt, release } = options;
   const tried: string[] = [];
-  let fault = describeNoStandby();
-  while (tried.length < MOST_STANDBYS) {
+  let fault = createNoStandbyFault();
+  while (tried.length < MAX_STANDBY_ATTEMPTS) {
     const standby = pickStandby(parts, tried);
     if (standby === undefined) {
       break;
@@ -93,17 +99,17 @@
       standby,
       deadline: startedAt + draft.deadline - parts.context.clock.now(),
     });
-    const outcome = await own(parts, record, release);
+    const outcome = await registerRequest(parts, record, release);
     if (outcome.kind === "accepted") {
-      const until = startedAt + draft.deadline;
-      await sendAnswer(parts, call, { id: record.id, from: 0, until });
+      const deadlineAt = startedAt + draft.deadline;
+      await sendResponse(parts, call, { id: record.id, from: 0, deadlineAt });
       return;
     }
     fault = outcome.fault;
     tried.push(standby);
   }
   release();
-  sendFault(call.response, fault, { entries: otherEntries(parts) });
+  sendFault(call.response, fault, { entries: listOtherEntries(parts) });
 }
 
 /** The next standby to try; empty when the settings allow none. */
@@ -120,27 +126,28 @@
   if (chosen !== undefined && !tried.includes(chosen.name)) {
     return chosen.name;
   }
-  const without = entry.standby === "preferred" && !tried.includes("");
-  return without ? "" : undefined;
+  const isStandbyOptional = entry.standby === "preferred" &&
+    !tried.includes("");
+  return isStandbyOptional ? "" : undefined;
 }
 
 /** Holds the request here and at its standby; a refusal ends nothing else. */
-function own(
+function registerRequest(
   parts: EntryParts,
   record: RequestRecord,
   release: () => void,
-): Promise<OwnOutcome> {
+): Promise<OwnershipOutcome> {
   return new Promise((resolve) => {
-    let accepted = false;
+    let isAccepted = false;
     parts.registry.send({
       kind: "own",
       record,
       reply: (outcome) => {
-        accepted = outcome.kind === "accepted";
+        isAccepted = outcome.kind === "accepted";
         resolve(outcome);
       },
       // A refused request goes on to the next standby with its place kept.
-      onEnded: () => accepted && release(),
+      onEnded: () => isAccepted && release(),
     });
   });
 }
@@ -160,9 +167,12 @@
   kind: RequestKind,
 ): Promise<Result<RequestRecord, Fault>> {
   const { entry } = parts.context;
-  const terms = readTerms(call.request, entry.default_deadline);
-  if (terms.isErr) {
-    return Result.err(terms.error);
+  const requestOptions = readRequestOptions(
+    call.request,
+    entry.default_deadline,
+  );
+  if (requestOptions.isErr) {
+    return Result.err(requestOptions.error);
   }
   if (call.request.headers["heroncleat-idempotent"] === "false") {
     return Result.err(createFault(
@@ -190,8 +200,8 @@
     stream: parsed.value.stream ?? false,
     model: parsed.value.model,
     body: text,
-    priority: terms.value.priority,
-    deadline: terms.value.deadline,
+    priority: requestOptions.value.priority,
+    deadline: requestOptions.value.deadline,
     promptTokens: Math.ceil(characters / CHARACTERS_PER_TOKEN),
     epoch: 1,
     owner: "",
@@ -199,7 +209,7 @@
   });
 }
 
-function describeNoStandby(): Fault {
+function createNoStandbyFault(): Fault {
   return createFault(
     "no_standby",
     "No other entry can hold a copy of the request. Remedy: come back after " +
--- a/apps/heroncleatd/entry/handle_answer.ts
+++ b/apps/heroncleatd/entry/handle_retrieval.ts
@@ -2,16 +2,16 @@
 import { sendFault } from "../common/send_fault.ts";
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
-import { sendAnswer } from "./send_answer.ts";
+import { sendResponse } from "./send_response.ts";
 
 /** Sends the rest of an answer, or all of it, to a caller that reconnects. */
-export async function handleAnswer(
+export async function handleRetrieval(
   parts: EntryParts,
   call: CallerRequest,
   id: string,
 ): Promise<void> {
-  const last = call.request.headers["last-event-id"];
-  const from = last === undefined ? 0 : Number(last) + 1;
+  const lastEventId = call.request.headers["last-event-id"];
+  const from = lastEventId === undefined ? 0 : Number(lastEventId) + 1;
   if (!Number.isInteger(from) || from < 0) {
     sendFault(
       call.response,
@@ -24,6 +24,6 @@
     return;
   }
   const { clock, entry } = parts.context;
-  const until = clock.now() + entry.default_deadline;
-  await sendAnswer(parts, call, { id, from, until });
+  const deadlineAt = clock.now() + entry.default_deadline;
+  await sendResponse(parts, call, { id, from, deadlineAt });
 }
--- a/apps/heroncleatd/entry/handle_service.ts
+++ b/apps/heroncleatd/entry/handle_service.ts
@@ -16,16 +16,16 @@
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import { isIdempotent } from "./is_idempotent.ts";
-import { otherEntries } from "./other_entries.ts";
-import { readTerms } from "./read_terms.ts";
+import { listOtherEntries } from "./list_other_entries.ts";
+import { readRequestOptions } from "./read_request_options.ts";
 import { runClaimed } from "./run_claimed.ts";
 import type { ServiceCall } from "./service_call.ts";
-import { dispatchService } from "./service_dispatcher.ts";
+import { dispatchService } from "./dispatch_service.ts";
 import type { ServiceOutcome } from "./service_outcome.ts";
 import type { ServiceTarget } from "./service_target.ts";
-import { withhold } from "./withhold.ts";
+import { findSuspectFault } from "./find_suspect_fault.ts";
 
-const MOST_KEY_CHARACTERS = 200;
+const MAX_KEY_CHARACTERS = 200;
 
 /** Serves one call to a plain service. */
 export async function handleService(
@@ -34,54 +34,65 @@
   target: ServiceTarget,
 ): Promise<void> {
   const { entry, clock } = parts.context;
-  const terms = readTerms(call.request, entry.default_deadline);
-  if (terms.isErr) {
-    sendFault(call.response, terms.error);
+  const requestOptions = readRequestOptions(
+    call.request,
+    entry.default_deadline,
+  );
+  if (requestOptions.isErr) {
+    sendFault(call.response, requestOptions.error);
     return;
   }
-  const until = clock.now() + terms.value.deadline;
-  const built = await buildCall(parts, call, { target, until });
-  if (built.isErr) {
-    sendFault(call.response, built.error);
+  const deadlineAt = clock.now() + requestOptions.value.deadline;
+  const result = await createServiceCall(parts, call, {
+    target,
+    deadlineAt,
+  });
+  if (result.isErr) {
+    sendFault(call.response, result.error);
     return;
   }
-  const service = built.value;
-  const withheld = withhold(parts.context.crashes, service.identity);
-  if (withheld !== undefined) {
-    sendFault(call.response, withheld);
+  const serviceCall = result.value;
+  const suspectFault = findSuspectFault(
+    parts.context.crashes,
+    serviceCall.identity,
+  );
+  if (suspectFault !== undefined) {
+    sendFault(call.response, suspectFault);
     return;
   }
-  const lane = { model: "", service: target.service };
-  const answer = await admit(parts.dispatch, {
+  const admissionTarget = { model: "", service: target.service };
+  const admission = await admit(parts.dispatch, {
     request: {
-      token: service.token,
+      token: serviceCall.token,
       workspace: call.workspace,
-      priority: terms.value.priority,
-      deadlineAt: until,
+      priority: requestOptions.value.priority,
+      deadlineAt,
     },
-    target: lane,
+    target: admissionTarget,
   });
-  if (answer.kind === "refused") {
-    sendFault(call.response, answer.fault, { entries: otherEntries(parts) });
+  if (admission.kind === "refused") {
+    sendFault(call.response, admission.fault, {
+      entries: listOtherEntries(parts),
+    });
     return;
   }
   try {
-    const outcome = service.isIdempotent
-      ? await dispatchService(parts, service)
-      : await runClaimed(parts, service);
-    sendOutcome(parts, call.response, { outcome, key: service.key });
+    const outcome = serviceCall.isIdempotent
+      ? await dispatchService(parts, serviceCall)
+      : await runClaimed(parts, serviceCall);
+    sendOutcome(parts, call.response, { outcome, key: serviceCall.key });
   } finally {
-    const { token } = service;
-    parts.dispatch.send({ kind: "release", token, target: lane });
+    const { token } = serviceCall;
+    parts.dispatch.send({ kind: "release", token, target: admissionTarget });
   }
 }
 
-async function buildCall(
+async function createServiceCall(
   parts: EntryParts,
   call: CallerRequest,
-  options: { target: ServiceTarget; until: Milliseconds },
+  options: { target: ServiceTarget; deadlineAt: Milliseconds },
 ): Promise<Result<ServiceCall, Fault>> {
-  const { target, until } = options;
+  const { target, deadlineAt } = options;
   const body = await readLimitedBody(
     call.request,
     parts.context.entry.max_body_bytes,
@@ -90,11 +101,11 @@
     return Result.err(body.error);
   }
   const key = String(call.request.headers["idempotency-key"] ?? createToken());
-  if (key.length === 0 || key.length > MOST_KEY_CHARACTERS) {
+  if (key.length === 0 || key.length > MAX_KEY_CHARACTERS) {
     return Result.err(createFault(
       "bad_request",
       `Idempotency-Key has ${key.length} characters. Remedy: use 1 to ` +
-        `${MOST_KEY_CHARACTERS}.`,
+        `${MAX_KEY_CHARACTERS}.`,
     ));
   }
   const token = createToken();
@@ -134,13 +145,13 @@
     },
     isIdempotent: isIdempotent(routed.method, {
       header: header === undefined ? undefined : String(header),
-      selector: await readSelector(parts, routed),
+      selector: await readSelectorIdempotence(parts, routed),
     }),
-    until,
+    deadlineAt,
   });
 }
 
-function readSelector(
+function readSelectorIdempotence(
   parts: EntryParts,
   routed: RoutedRequest,
 ): Promise<boolean | undefined> {
@@ -163,13 +174,13 @@
   }
   response.setHeader("idempotency-key", key);
   if (outcome.kind === "answered") {
-    sendStored(response, outcome.outcome);
+    sendServiceResponse(response, outcome.outcome);
     return;
   }
-  sendFault(response, outcome.fault, { entries: otherEntries(parts) });
+  sendFault(response, outcome.fault, { entries: listOtherEntries(parts) });
 }
 
-function sendStored(response: ServerResponse, outcome: Outcome): void {
+function sendServiceResponse(response: ServerResponse, outcome: Outcome): void {
   const body = Buffer.from(outcome.body, "base64");
   response.writeHead(outcome.status, {
     "content-type": outcome.contentType,
--- a/apps/heroncleatd/entry/membership_listener.ts
+++ b/apps/heroncleatd/entry/membership_listener.ts
@@ -6,5 +6,5 @@
   readonly onUpstream: (upstream: UpstreamRecord) => void;
   readonly onUpstreamLapsed: (name: string) => void;
   /** Notified once, when this entry knows what the others know. */
-  readonly onInformed: () => void;
+  readonly onSynchronized: () => void;
 };
--- a/apps/heroncleatd/entry/read_terms.ts
+++ b/apps/heroncleatd/entry/read_request_options.ts
@@ -4,7 +4,7 @@
 import { Result } from "true-myth/result";
 
 /** What a caller asks for beside the body. */
-type RequestTerms = {
+type RequestOptions = {
   readonly priority: Priority;
   /** Time for the whole answer. */
   readonly deadline: Milliseconds;
@@ -17,35 +17,38 @@
   "draft",
 ];
 const DEFAULT_PRIORITY: Priority = "guest";
-const MOST_DEADLINE = 3_600_000;
+const MAX_DEADLINE_MS = 3_600_000;
 
 /** Reads priority and deadline from the headers. */
-export function readTerms(
+export function readRequestOptions(
   request: IncomingMessage,
   defaultDeadline: Milliseconds,
-): Result<RequestTerms, Fault> {
-  const named = String(
+): Result<RequestOptions, Fault> {
+  const priorityName = String(
     request.headers["heroncleat-priority"] ?? DEFAULT_PRIORITY,
   );
-  const priority = PRIORITIES.find((known) => known === named);
+  const priority = PRIORITIES.find((known) => known === priorityName);
   if (priority === undefined) {
-    return refuse(
-      `Heroncleat-Priority is ${JSON.stringify(named)}`,
+    return createRefusal(
+      `Heroncleat-Priority is ${JSON.stringify(priorityName)}`,
       `use one of ${PRIORITIES.join(", ")}`,
     );
   }
   const deadline = Number(
     request.headers["heroncleat-deadline"] ?? defaultDeadline,
   );
-  if (!(deadline > 0 && deadline <= MOST_DEADLINE)) {
-    return refuse(
+  if (!(deadline > 0 && deadline <= MAX_DEADLINE_MS)) {
+    return createRefusal(
       "Heroncleat-Deadline is not a usable number of milliseconds",
-      `use one from 1 to ${MOST_DEADLINE}`,
+      `use one from 1 to ${MAX_DEADLINE_MS}`,
     );
   }
   return Result.ok({ priority, deadline });
 }
 
-function refuse(cause: string, remedy: string): Result<RequestTerms, Fault> {
+function createRefusal(
+  cause: string,
+  remedy: string,
+): Result<RequestOptions, Fault> {
   return Result.err(createFault("bad_request", `${cause}. Remedy: ${remedy}.`));
 }
--- a/apps/heroncleatd/entry/registry_message.ts
+++ b/apps/heroncleatd/entry/registry_message.ts
@@ -8,7 +8,7 @@
   UpstreamRecord,
 } from "@heroncleat/schema";
 import type { Actor } from "../common/actor.ts";
-import type { OwnOutcome } from "./own_outcome.ts";
+import type { OwnershipOutcome } from "./ownership_outcome.ts";
 import type { RequestMessage } from "./request_message.ts";
 
 /** Messages to the actor that knows all requests held by this entry. */
@@ -21,7 +21,7 @@
     readonly record: RequestRecord;
     /** Notified once, when this entry is done with the request. */
     readonly onEnded: () => void;
-    readonly reply: (outcome: OwnOutcome) => void;
+    readonly reply: (outcome: OwnershipOutcome) => void;
   }
   | {
     readonly kind: "copies";
--- a/apps/heroncleatd/entry/dispatch_host.ts
+++ b/apps/heroncleatd/entry/request_dispatcher.ts
@@ -11,19 +11,19 @@
   ROUTING_DEFAULTS,
 } from "@heroncleat/routing";
 import type { Limit } from "@heroncleat/schema";
-import type { AdmissionAnswer } from "./admission_answer.ts";
+import type { AdmissionResult } from "./admission_result.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 import type { EntryContext } from "./entry_context.ts";
 import { hashToUnit } from "./hash_to_unit.ts";
 
 /** Admission to one model or service, and who waits for it. */
-type Lane = {
+type AdmissionQueue = {
   readonly target: Pick<RoutedRequest, "model" | "service">;
   readonly admission: AdmissionController;
-  readonly waiting: Map<string, (answer: AdmissionAnswer) => void>;
+  readonly waiting: Map<string, (result: AdmissionResult) => void>;
 };
 
-const UNROUTABLE = {
+const UNROUTABLE_MESSAGES = {
   no_selector: "No selector takes this request. Remedy: ask an operator to " +
     "set one for its workspace, model or service",
   all_draining: "All groups for this request are draining. Remedy: come back " +
@@ -35,21 +35,21 @@
     "after the time in Retry-After",
 } as const;
 
-const RETRY_AFTER = 1000;
+const RETRY_AFTER_MS = 1000;
 
 /** Owns routing and admission of one entry. */
-export class DispatchHost {
+export class RequestDispatcher {
   readonly #context: EntryContext;
   readonly #router: Router;
-  readonly #budget: RetryBudget;
-  readonly #lanes = new Map<string, Lane>();
+  readonly #retryBudget: RetryBudget;
+  readonly #queues = new Map<string, AdmissionQueue>();
   #limits: Readonly<Record<string, Limit>> = {};
-  #entries = 1;
+  #entryCount = 1;
 
   constructor(context: EntryContext) {
     this.#context = context;
     const { policy } = context.settings;
-    this.#budget = new RetryBudget(policy.retry_budget);
+    this.#retryBudget = new RetryBudget(policy.retry_budget);
     this.#router = new Router({
       ...ROUTING_DEFAULTS,
       firstTokenTarget: policy.first_token_target,
@@ -65,8 +65,8 @@
         this.#onTick();
         return;
       case "entries":
-        this.#entries = Math.max(1, message.alive);
-        this.#router.setEntryCount(this.#entries);
+        this.#entryCount = Math.max(1, message.alive);
+        this.#router.setEntryCount(this.#entryCount);
         this.#refreshCapacity();
         return;
       case "configuration":
@@ -113,31 +113,31 @@
 
   #onTick(): void {
     const now = this.#context.clock.now();
-    for (const lane of this.#lanes.values()) {
-      for (const expired of lane.admission.expire(now)) {
-        this.#answer(lane, expired.token, {
+    for (const queue of this.#queues.values()) {
+      for (const expired of queue.admission.expire(now)) {
+        this.#reply(queue, expired.token, {
           kind: "refused",
           fault: createFault(
             "overloaded",
             "The deadline passed in the queue. Remedy: come back later or " +
               "allow more time.",
-            { retryAfter: RETRY_AFTER },
+            { retryAfter: RETRY_AFTER_MS },
           ),
         });
       }
-      this.#refreshLane(lane);
-      this.#startNext(lane);
+      this.#refreshQueueCapacity(queue);
+      this.#admitNext(queue);
     }
   }
 
   #admit(message: Extract<DispatchMessage, { kind: "admit" }>): void {
     if (!this.#context.lease.isValid) {
-      message.reply({ kind: "refused", fault: describeLapse() });
+      message.reply({ kind: "refused", fault: createLeaseLapsedFault() });
       return;
     }
-    const lane = this.#laneOf(message.target);
+    const queue = this.#queueFor(message.target);
     const now = this.#context.clock.now();
-    const decision = lane.admission.offer(message.request, now);
+    const decision = queue.admission.offer(message.request, now);
     switch (decision.kind) {
       case "admitted":
         message.reply({ kind: "admitted" });
@@ -146,44 +146,44 @@
         message.reply(decision);
         return;
       case "queued":
-        lane.waiting.set(message.request.token, message.reply);
+        queue.waiting.set(message.request.token, message.reply);
         return;
     }
   }
 
   #release(message: Extract<DispatchMessage, { kind: "release" }>): void {
-    const lane = this.#laneOf(message.target);
-    lane.waiting.delete(message.token);
-    lane.admission.withdraw(message.token);
-    lane.admission.release(message.token, this.#context.clock.now());
-    this.#startNext(lane);
+    const queue = this.#queueFor(message.target);
+    queue.waiting.delete(message.token);
+    queue.admission.withdraw(message.token);
+    queue.admission.release(message.token, this.#context.clock.now());
+    this.#admitNext(queue);
   }
 
-  #startNext(lane: Lane): void {
+  #admitNext(queue: AdmissionQueue): void {
     const now = this.#context.clock.now();
-    for (const request of lane.admission.startNext(now)) {
-      this.#answer(lane, request.token, { kind: "admitted" });
+    for (const request of queue.admission.startNext(now)) {
+      this.#reply(queue, request.token, { kind: "admitted" });
     }
   }
 
-  #answer(lane: Lane, token: string, answer: AdmissionAnswer): void {
-    const reply = lane.waiting.get(token);
-    lane.waiting.delete(token);
-    reply?.(answer);
+  #reply(queue: AdmissionQueue, token: string, result: AdmissionResult): void {
+    const reply = queue.waiting.get(token);
+    queue.waiting.delete(token);
+    reply?.(result);
   }
 
   #route(message: Extract<DispatchMessage, { kind: "route" }>): void {
     if (!this.#context.lease.isValid) {
-      message.reply({ kind: "unroutable", fault: describeLapse() });
+      message.reply({ kind: "unroutable", fault: createLeaseLapsedFault() });
       return;
     }
     if (!message.isRetry) {
-      this.#budget.recordFirstAttempt();
-    } else if (!this.#budget.tryConsume()) {
+      this.#retryBudget.recordFirstAttempt();
+    } else if (!this.#retryBudget.tryConsume()) {
       this.#context.metrics.increment("retry_budget.empty");
       message.reply({
         kind: "unroutable",
-        fault: describeUnroutable(UNROUTABLE.all_failing),
+        fault: createUnroutableFault(UNROUTABLE_MESSAGES.all_failing),
       });
       return;
     }
@@ -193,62 +193,64 @@
     message.reply(
       decision.kind === "chosen" ? decision : {
         kind: "unroutable",
-        fault: describeUnroutable(UNROUTABLE[decision.reason]),
+        fault: createUnroutableFault(UNROUTABLE_MESSAGES[decision.reason]),
       },
     );
   }
 
-  #laneOf(target: Pick<RoutedRequest, "model" | "service">): Lane {
+  #queueFor(target: Pick<RoutedRequest, "model" | "service">): AdmissionQueue {
     const key = `${target.service}/${target.model}`;
-    let lane = this.#lanes.get(key);
-    if (lane === undefined) {
+    let queue = this.#queues.get(key);
+    if (queue === undefined) {
       const admission = new AdmissionController({
         ...ADMISSION_DEFAULTS,
         maxQueued: this.#context.entry.max_queued,
       });
-      lane = { target, admission, waiting: new Map() };
+      queue = { target, admission, waiting: new Map() };
       admission.setLimits(this.#limits);
-      this.#lanes.set(key, lane);
-      this.#refreshLane(lane);
+      this.#queues.set(key, queue);
+      this.#refreshQueueCapacity(queue);
     }
-    return lane;
+    return queue;
   }
 
   #setLimits(limits: Readonly<Record<string, Limit>>): void {
     this.#limits = limits;
-    for (const lane of this.#lanes.values()) {
-      lane.admission.setLimits(limits);
+    for (const queue of this.#queues.values()) {
+      queue.admission.setLimits(limits);
     }
   }
 
   #refreshCapacity(): void {
-    for (const lane of this.#lanes.values()) {
-      this.#refreshLane(lane);
-      this.#startNext(lane);
+    for (const queue of this.#queues.values()) {
+      this.#refreshQueueCapacity(queue);
+      this.#admitNext(queue);
     }
   }
 
-  #refreshLane(lane: Lane): void {
+  #refreshQueueCapacity(queue: AdmissionQueue): void {
     const capacity = entryCapacity({
-      slots: this.#router.slotsFor(lane.target),
-      freeSlots: this.#router.freeSlotsFor(lane.target),
-      running: lane.admission.running,
-      entries: this.#entries,
+      slots: this.#router.slotsFor(queue.target),
+      freeSlots: this.#router.freeSlotsFor(queue.target),
+      running: queue.admission.running,
+      entries: this.#entryCount,
     });
     const { max_running } = this.#context.entry;
-    lane.admission.setCapacity(Math.min(capacity, max_running));
+    queue.admission.setCapacity(Math.min(capacity, max_running));
   }
 }
 
-function describeLapse(): Fault {
+function createLeaseLapsedFault(): Fault {
   return createFault(
     "lease_lapsed",
     "This entry can't confirm its configuration. Remedy: use another entry; " +
       "operators check that most control replicas run.",
-    { retryAfter: RETRY_AFTER },
+    { retryAfter: RETRY_AFTER_MS },
   );
 }
 
-function describeUnroutable(message: string): Fault {
-  return createFault("no_upstream", `${message}.`, { retryAfter: RETRY_AFTER });
+function createUnroutableFault(message: string): Fault {
+  return createFault("no_upstream", `${message}.`, {
+    retryAfter: RETRY_AFTER_MS,
+  });
 }
--- a/apps/heroncleatd/entry/request_registry.ts
+++ b/apps/heroncleatd/entry/request_registry.ts
@@ -21,9 +21,9 @@
 import type { CopySender } from "./copy_sender.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 import type { EntryContext } from "./entry_context.ts";
-import type { OwnOutcome } from "./own_outcome.ts";
+import type { OwnershipOutcome } from "./ownership_outcome.ts";
 import type { RegistryMessage } from "./registry_message.ts";
-import { RequestHost } from "./request_host.ts";
+import { RequestRunner } from "./request_runner.ts";
 import type { RequestMessage } from "./request_message.ts";
 import type { RequestServices } from "./request_services.ts";
 import { HandOverSender } from "./hand_over_sender.ts";
@@ -39,11 +39,11 @@
 };
 
 /** A request that this entry owns. */
-type OwnedEntry = {
+type OwnedRequestState = {
   readonly request: OwnedRequest;
   readonly actor: Actor<RequestMessage>;
   /** Notified once, when the request is held or refused. */
-  onOutcome: ((outcome: OwnOutcome) => void) | undefined;
+  onOutcome: ((outcome: OwnershipOutcome) => void) | undefined;
   /** Notified once, when this entry is done with the request. */
   onEnded: () => void;
 };
@@ -54,13 +54,13 @@
   | { readonly kind: "not_leader"; readonly leader: string }
   | { readonly kind: "unknown" };
 
-const COPY_TIMEOUT = 400;
-const RETRY_PAUSE = 100;
-const MOST_ATTEMPTS = 40;
-const LEDGER_TIMEOUT = 2000;
-const HAND_OVER_TIMEOUT = 2000;
+const COPY_TIMEOUT_MS = 400;
+const RETRY_DELAY_MS = 100;
+const MAX_ATTEMPTS = 40;
+const LEDGER_TIMEOUT_MS = 2000;
+const HAND_OVER_TIMEOUT_MS = 2000;
 /** What reclaim choices assume of an engine that is not asked. */
-const RECLAIM_RATES = {
+const RECLAIM_ESTIMATES = {
   decodeInterval: 25,
   transferRate: 20_000,
   prefillRate: 5000,
@@ -71,9 +71,9 @@
 export class RequestRegistry {
   readonly #options: RegistryOptions;
   readonly #log: Log;
-  readonly #owned = new Map<string, OwnedEntry>();
+  readonly #owned = new Map<string, OwnedRequestState>();
   readonly #held: StandbyStore;
-  readonly #leavingSeen = new Set<string>();
+  readonly #seenDepartures = new Set<string>();
   #members: readonly MemberRecord[] = [];
   readonly #handOvers: HandOverSender;
 
@@ -87,7 +87,7 @@
     );
     this.#handOvers = new HandOverSender({
       pool: context.pool,
-      timeout: HAND_OVER_TIMEOUT,
+      timeout: HAND_OVER_TIMEOUT_MS,
       addressOf: (name) => this.#addressOf(name),
     });
   }
@@ -106,16 +106,16 @@
         this.#onUpstream(message.upstream);
         return;
       case "own":
-        this.#startOwn(message);
+        this.#acceptRequest(message);
         return;
       case "copies":
-        message.reply(message.copies.map((copy) => this.#takeCopy(copy)));
+        message.reply(message.copies.map((copy) => this.#applyCopy(copy)));
         return;
       case "query":
         this.#query(message);
         return;
       case "take_over":
-        void this.#takeOverHanded(message);
+        void this.#handleTakeOver(message);
         return;
       case "hand_over":
         this.#handOver();
@@ -124,7 +124,7 @@
         message.reply(this.#count());
         return;
       case "forget":
-        this.#forget(message.id);
+        this.#removeEnded(message.id);
         return;
       default:
         unreachable(message);
@@ -143,37 +143,37 @@
     return { owned, held: this.#held.size };
   }
 
-  #startOwn(message: Extract<RegistryMessage, { kind: "own" }>): void {
-    const entry = this.#own(message.record, {
+  #acceptRequest(message: Extract<RegistryMessage, { kind: "own" }>): void {
+    const ownedState = this.#addOwned(message.record, {
       pieces: [],
       finished: false,
       finishReason: "",
       accepted: false,
       now: this.#now(),
     });
-    entry.onOutcome = message.reply;
-    entry.onEnded = message.onEnded;
-    entry.actor.send({ kind: "event", event: { kind: "start" } });
+    ownedState.onOutcome = message.reply;
+    ownedState.onEnded = message.onEnded;
+    ownedState.actor.send({ kind: "event", event: { kind: "start" } });
   }
 
-  #own(
+  #addOwned(
     record: RequestRecord,
     start: ConstructorParameters<typeof OwnedRequest>[1]["start"],
-  ): OwnedEntry {
+  ): OwnedRequestState {
     const { context } = this.#options;
     const request = new OwnedRequest(record, {
       settings: {
         self: context.name,
-        copyTimeout: COPY_TIMEOUT,
-        handOverTimeout: HAND_OVER_TIMEOUT,
+        copyTimeout: COPY_TIMEOUT_MS,
+        handOverTimeout: HAND_OVER_TIMEOUT_MS,
         idleTimeout: context.entry.attempt_idle_timeout,
-        retryDelay: RETRY_PAUSE,
-        maxAttempts: MOST_ATTEMPTS,
-        chooseReclaimAction: createReclaimPolicy(RECLAIM_RATES),
+        retryDelay: RETRY_DELAY_MS,
+        maxAttempts: MAX_ATTEMPTS,
+        chooseReclaimAction: createReclaimPolicy(RECLAIM_ESTIMATES),
       },
       start,
     });
-    const host: RequestHost = new RequestHost({
+    const host: RequestRunner = new RequestRunner({
       request,
       context,
       services: this.#services(record),
@@ -185,21 +185,21 @@
       log: this.#log,
       handle: (message) => host.handle(message),
     });
-    const entry: OwnedEntry = {
+    const ownedState: OwnedRequestState = {
       request,
       actor,
       onOutcome: undefined,
       onEnded: () => {},
     };
-    this.#owned.set(record.id, entry);
-    return entry;
+    this.#owned.set(record.id, ownedState);
+    return ownedState;
   }
 
   #services(record: RequestRecord): RequestServices {
     const { context, copies, dispatch } = this.#options;
     const routed = toRoutedRequest(record, context.chainHash);
     return {
-      copy: (to, message) => {
+      sendCopy: (to, message) => {
         const address = this.#addressOf(to);
         return address === undefined
           ? Promise.reject(new Error(`entry ${to} is not known`))
@@ -211,9 +211,10 @@
           exclude,
           random: Math.random,
         })?.name ?? "",
-      moveStandby: (present, options) => this.#moveStandby(present, options),
+      moveStandby: (currentRecord, options) =>
+        this.#moveStandby(currentRecord, options),
       handOver: (standby, id) => this.#handOvers.send(standby, id),
-      route: (_present, { token, exclude, isRetry }) =>
+      route: (_record, { token, exclude, isRetry }) =>
         new Promise((resolve) => {
           const request = { ...routed, exclude };
           dispatch.send({
@@ -224,18 +225,18 @@
             reply: resolve,
           });
         }),
-      attemptEnded: (upstream, { token, outcome }) => {
+      recordAttempt: (upstream, { token, outcome }) => {
         dispatch.send({ kind: "ended", upstream, token, outcome });
       },
-      firstToken: (upstream, times) => {
+      recordFirstToken: (upstream, times) => {
         dispatch.send({ kind: "first_token", upstream, ...times });
       },
-      betweenTokens: (upstream, measured) => {
+      recordTokenInterval: (upstream, measured) => {
         dispatch.send({ kind: "between_tokens", upstream, measured });
       },
       onAccepted: ({ id }) => {
         context.metrics.increment("requests.accepted");
-        this.#settle(id, { kind: "accepted" });
+        this.#reportOutcome(id, { kind: "accepted" });
       },
       onEnded: (ended, end) => {
         context.metrics.increment(`requests.${end.kind}`);
@@ -250,34 +251,34 @@
   ): void {
     const { context, sendSelf } = this.#options;
     if (end.kind === "refused") {
-      this.#settle(id, end);
+      this.#reportOutcome(id, end);
     }
     this.#owned.get(id)?.onEnded();
     if (end.kind === "failed" || end.kind === "fenced") {
       this.#log.warn(`Request ${end.kind}`, { request: id });
     }
-    const retained = end.kind === "finished" || end.kind === "failed";
-    const after = retained ? context.entry.answer_retention : 0;
-    setTimeout(() => sendSelf({ kind: "forget", id }), after).unref();
+    const isRetained = end.kind === "finished" || end.kind === "failed";
+    const delay = isRetained ? context.entry.answer_retention : 0;
+    setTimeout(() => sendSelf({ kind: "forget", id }), delay).unref();
   }
 
-  #settle(id: string, outcome: OwnOutcome): void {
-    const entry = this.#owned.get(id);
-    entry?.onOutcome?.(outcome);
-    if (entry !== undefined) {
-      entry.onOutcome = undefined;
+  #reportOutcome(id: string, outcome: OwnershipOutcome): void {
+    const ownedState = this.#owned.get(id);
+    ownedState?.onOutcome?.(outcome);
+    if (ownedState !== undefined) {
+      ownedState.onOutcome = undefined;
     }
   }
 
-  #forget(id: string): void {
-    const entry = this.#owned.get(id);
-    if (entry?.request.phase === RequestPhase.ended) {
+  #removeEnded(id: string): void {
+    const ownedState = this.#owned.get(id);
+    if (ownedState?.request.phase === RequestPhase.ended) {
       this.#owned.delete(id);
-      entry.actor.stop();
+      ownedState.actor.stop();
     }
   }
 
-  #takeCopy(copy: CopyMessage) {
+  #applyCopy(copy: CopyMessage) {
     const owned = this.#owned.get(copy.id);
     // An entry that became the owner takes no more copies of an older epoch.
     if (owned !== undefined && owned.request.record.epoch >= copy.epoch) {
@@ -318,9 +319,9 @@
       {
         parameters: {
           command: { kind: "custody", at: 0, ...command },
-          timeout: LEDGER_TIMEOUT,
+          timeout: LEDGER_TIMEOUT_MS,
         },
-        timeout: LEDGER_TIMEOUT,
+        timeout: LEDGER_TIMEOUT_MS,
       },
     );
     return reply.kind === "done" ? reply.result : undefined;
@@ -345,7 +346,7 @@
     return copies;
   }
 
-  async #takeOverHanded(
+  async #handleTakeOver(
     message: Extract<RegistryMessage, { kind: "take_over" }>,
   ): Promise<void> {
     await this.#takeOver(this.#copiesOf(message.ids));
@@ -378,38 +379,41 @@
       this.#held.cancelTakeOver(copies);
       return;
     }
-    let taken = 0;
+    let takenOverCount = 0;
     for (const outcome of reply.outcomes) {
       const copy = this.#held.finishTakeOver(outcome);
       if (copy !== undefined) {
-        taken += 1;
-        this.#continue(copy);
+        takenOverCount += 1;
+        this.#resume(copy);
       }
     }
-    this.#options.context.metrics.increment("requests.taken_over", taken);
-    this.#log.info(`Took over ${taken} of ${copies.length} requests`);
+    this.#options.context.metrics.increment(
+      "requests.taken_over",
+      takenOverCount,
+    );
+    this.#log.info(`Took over ${takenOverCount} of ${copies.length} requests`);
   }
 
-  #continue(copy: StandbyCopy): void {
+  #resume(copy: StandbyCopy): void {
     const now = this.#now();
     const deadline = Math.max(0, copy.deadlineAt - now);
-    const entry = this.#own({ ...copy.record, deadline }, {
+    const ownedState = this.#addOwned({ ...copy.record, deadline }, {
       pieces: copy.pieces,
       finished: copy.finished,
       finishReason: copy.finishReason,
       accepted: true,
       now,
     });
-    entry.actor.send({ kind: "event", event: { kind: "start" } });
+    ownedState.actor.send({ kind: "event", event: { kind: "start" } });
   }
 
   #onUpstream(upstream: UpstreamRecord): void {
     const { announcement } = upstream;
     const key = `${announcement.name} ${announcement.incarnation}`;
-    if (announcement.state !== "leaving" || this.#leavingSeen.has(key)) {
+    if (announcement.state !== "leaving" || this.#seenDepartures.has(key)) {
       return;
     }
-    this.#leavingSeen.add(key);
+    this.#seenDepartures.add(key);
     this.#log.info(`Upstream ${announcement.name} is leaving`);
     const reclaimIn = Math.max(
       0,
--- a/apps/heroncleatd/entry/request_host.ts
+++ b/apps/heroncleatd/entry/request_runner.ts
@@ -18,7 +18,7 @@
 import { UpstreamStream } from "./upstream_stream.ts";
 
 /** What a request host is built from. */
-type HostOptions = {
+type RunnerOptions = {
   readonly request: OwnedRequest;
   readonly context: EntryContext;
   readonly services: RequestServices;
@@ -30,23 +30,23 @@
   { kind: Kind }
 >;
 
-const LEAST_SLEEP = 1;
+const MIN_DELAY_MS = 1;
 
 /**
  * Owns one accepted request: its state machine, its connection to an upstream
  * and those who wait for its answer.
  */
-export class RequestHost {
-  readonly #options: HostOptions;
+export class RequestRunner {
+  readonly #options: RunnerOptions;
   #attempt: RunningAttempt | undefined;
   #readers: Extract<RequestMessage, { kind: "read" }>[] = [];
   #timer: NodeJS.Timeout | undefined;
   #timerAt: Milliseconds = Infinity;
   readonly #identity: RequestIdentity;
   /** Notes that the attempt under way has ended. */
-  #endTurn = () => {};
+  #endTrackedRun = () => {};
 
-  constructor(options: HostOptions) {
+  constructor(options: RunnerOptions) {
     this.#options = options;
     this.#identity = identifyGeneration(options.request.record);
   }
@@ -56,18 +56,18 @@
       this.#read(message);
       return;
     }
-    this.#drive(message.event);
+    this.#handleEvent(message.event);
   }
 
-  #drive(event: RequestEvent): void {
+  #handleEvent(event: RequestEvent): void {
     const { request, context } = this.#options;
     for (const effect of request.handle(event, context.clock.now())) {
-      this.#carryOut(effect);
+      this.#runEffect(effect);
     }
-    this.#schedule();
+    this.#scheduleTick();
   }
 
-  #carryOut(effect: RequestEffect): void {
+  #runEffect(effect: RequestEffect): void {
     const { request, services } = this.#options;
     switch (effect.kind) {
       case "copy":
@@ -86,11 +86,11 @@
         this.#closeAttempt("neutral");
         return;
       case "emit":
-        this.#answerReaders();
+        this.#replyToReaders();
         return;
       case "choose_standby": {
         const standby = services.chooseStandby(effect.exclude);
-        this.#notify({ kind: "standby_chosen", standby });
+        this.#sendEvent({ kind: "standby_chosen", standby });
         return;
       }
       case "move_standby":
@@ -113,9 +113,9 @@
 
   #copy(effect: EffectOf<"copy">): void {
     const { number } = effect;
-    this.#options.services.copy(effect.to, effect.message).then(
-      (reply) => this.#notify({ kind: "copy_answered", number, reply }),
-      () => this.#notify({ kind: "copy_failed", number }),
+    this.#options.services.sendCopy(effect.to, effect.message).then(
+      (reply) => this.#sendEvent({ kind: "copy_answered", number, reply }),
+      () => this.#sendEvent({ kind: "copy_failed", number }),
     );
   }
 
@@ -126,30 +126,30 @@
     const isRetry = exclude.length > 0;
     this.#closeAttempt("failed");
     await context.crashes.decided(this.#identity);
-    const standing = context.crashes.standing(this.#identity);
-    if (standing === SuspectStatus.rejected) {
-      this.#notify({ kind: "rejected" });
+    const status = context.crashes.standing(this.#identity);
+    if (status === SuspectStatus.rejected) {
+      this.#sendEvent({ kind: "rejected" });
       return;
     }
-    const answer = await services.route(request.record, {
+    const result = await services.route(request.record, {
       token,
       exclude,
       isRetry,
     });
-    if (answer.kind === "unroutable") {
-      this.#notify({ kind: "unroutable", attempt });
+    if (result.kind === "unroutable") {
+      this.#sendEvent({ kind: "unroutable", attempt });
       return;
     }
-    const { upstream } = answer.choice;
+    const { upstream } = result.choice;
     this.#attempt = {
       number: attempt,
       token,
-      ...answer.choice,
+      ...result.choice,
       sentAt: 0,
       firstTokenAt: 0,
       stream: undefined,
     };
-    this.#notify({ kind: "routed", attempt, upstream });
+    this.#sendEvent({ kind: "routed", attempt, upstream });
   }
 
   #dispatch(effect: EffectOf<"dispatch">): void {
@@ -161,7 +161,7 @@
     const body = buildUpstreamBody(request.record, effect);
     if (body["max_tokens"] === 0) {
       this.#closeAttempt("neutral");
-      this.#notify({
+      this.#sendEvent({
         kind: "attempt_finished",
         attempt: effect.attempt,
         pieces: 0,
@@ -173,7 +173,7 @@
     // route was chosen must not act on an old configuration.
     if (!context.lease.isValid) {
       this.#closeAttempt("neutral");
-      this.#notify({ kind: "unroutable", attempt: effect.attempt });
+      this.#sendEvent({ kind: "unroutable", attempt: effect.attempt });
       return;
     }
     this.#open(attempt, body);
@@ -182,10 +182,10 @@
   #open(attempt: RunningAttempt, body: Record<string, unknown>): void {
     const { context, request } = this.#options;
     const { number, address } = attempt;
-    const upstream = context.startOf(attempt.upstream);
+    const upstream = context.instanceIdOf(attempt.upstream);
     const sentAt = context.clock.steady();
     attempt.sentAt = context.clock.now();
-    this.#endTurn = context.crashes.begin(this.#identity);
+    this.#endTrackedRun = context.crashes.begin(this.#identity);
     attempt.stream = new UpstreamStream({
       agent: context.upstreams,
       address: attempt.address,
@@ -195,19 +195,19 @@
       body,
       attempt: attempt.token,
       handlers: {
-        onPiece: (place, text) => {
-          this.#notePace(attempt, place);
+        onChunk: (index, text) => {
+          this.#recordLatency(attempt, index);
           const piece = { text, tokens: 1 };
-          this.#notify({
+          this.#sendEvent({
             kind: "piece",
             attempt: number,
-            position: place,
+            position: index,
             piece,
           });
         },
         onFinished: (pieces, reason) => {
           context.crashes.noteAnswer(this.#identity);
-          this.#notify({
+          this.#sendEvent({
             kind: "attempt_finished",
             attempt: number,
             pieces,
@@ -215,31 +215,31 @@
           });
         },
         onFailed: ({ message, isBroken }) => {
-          if (isBroken && !context.isLeavingUpstream(attempt.upstream)) {
+          if (isBroken && !context.isDepartingUpstream(attempt.upstream)) {
             const broken = { upstream, address, sentAt };
             context.crashes.noteBreak(this.#identity, broken);
           }
-          this.#notify({ kind: "attempt_failed", attempt: number, message });
+          this.#sendEvent({ kind: "attempt_failed", attempt: number, message });
         },
       },
     });
   }
 
   /** Reports the router how fast the upstream answers. */
-  #notePace(attempt: RunningAttempt, place: number): void {
+  #recordLatency(attempt: RunningAttempt, index: number): void {
     const { context, services } = this.#options;
     const now = context.clock.now();
-    if (place === 0) {
+    if (index === 0) {
       attempt.firstTokenAt = now;
-      services.firstToken(attempt.upstream, {
+      services.recordFirstToken(attempt.upstream, {
         measured: now - attempt.sentAt,
         estimated: attempt.estimatedFirstToken,
       });
       return;
     }
-    if (isTokenIntervalSample(place)) {
-      const pace = (now - attempt.firstTokenAt) / place;
-      services.betweenTokens(attempt.upstream, pace);
+    if (isTokenIntervalSample(index)) {
+      const interval = (now - attempt.firstTokenAt) / index;
+      services.recordTokenInterval(attempt.upstream, interval);
     }
   }
 
@@ -250,10 +250,10 @@
       return;
     }
     this.#attempt = undefined;
-    this.#endTurn();
-    this.#endTurn = () => {};
+    this.#endTrackedRun();
+    this.#endTrackedRun = () => {};
     attempt.stream?.cancel();
-    this.#options.services.attemptEnded(attempt.upstream, {
+    this.#options.services.recordAttempt(attempt.upstream, {
       token: attempt.token,
       outcome,
     });
@@ -264,11 +264,11 @@
     const reply = await services.moveStandby(request.record, effect);
     const outcome = reply?.outcomes[0];
     if (outcome === undefined) {
-      this.#notify({ kind: "standby_kept" });
+      this.#sendEvent({ kind: "standby_kept" });
       return;
     }
     const { epoch, standby, owner } = outcome;
-    this.#notify(
+    this.#sendEvent(
       outcome.moved
         ? { kind: "standby_moved", epoch, standby }
         : { kind: "custody_lost", owner },
@@ -278,7 +278,7 @@
   async #handOver(standby: string): Promise<void> {
     const { request, services } = this.#options;
     const owner = await services.handOver(standby, request.record.id);
-    this.#notify(
+    this.#sendEvent(
       owner === undefined
         ? { kind: "hand_over_failed" }
         : { kind: "custody_lost", owner },
@@ -293,16 +293,16 @@
     const { request, services } = this.#options;
     this.#closeAttempt(effect.kind === "finished" ? "succeeded" : "neutral");
     services.onEnded(request.record, effect);
-    this.#answerReaders();
+    this.#replyToReaders();
   }
 
   #read(message: Extract<RequestMessage, { kind: "read" }>): void {
     if (this.#hasUpdates(message.from)) {
-      message.reply(this.#buildAnswer(message.from));
+      message.reply(this.#createReply(message.from));
       return;
     }
     this.#readers.push(message);
-    setTimeout(() => this.#giveUpReader(message), message.wait).unref();
+    setTimeout(() => this.#timeOutReader(message), message.wait).unref();
   }
 
   #hasUpdates(from: number): boolean {
@@ -310,7 +310,7 @@
     return request.emittedCount > from || request.phase === RequestPhase.ended;
   }
 
-  #buildAnswer(from: number): ForwardedAnswer {
+  #createReply(from: number): ForwardedAnswer {
     const { request } = this.#options;
     return {
       found: request.phase !== RequestPhase.ended || request.isComplete,
@@ -323,7 +323,7 @@
     };
   }
 
-  #answerReaders(): void {
+  #replyToReaders(): void {
     const readers = this.#readers;
     this.#readers = [];
     for (const reader of readers) {
@@ -331,20 +331,20 @@
     }
   }
 
-  #giveUpReader(message: Extract<RequestMessage, { kind: "read" }>): void {
-    const place = this.#readers.indexOf(message);
-    if (place !== -1) {
-      this.#readers.splice(place, 1);
-      message.reply(this.#buildAnswer(message.from));
+  #timeOutReader(message: Extract<RequestMessage, { kind: "read" }>): void {
+    const index = this.#readers.indexOf(message);
+    if (index !== -1) {
+      this.#readers.splice(index, 1);
+      message.reply(this.#createReply(message.from));
     }
   }
 
-  #notify(event: RequestEvent): void {
+  #sendEvent(event: RequestEvent): void {
     this.#options.sendSelf({ kind: "event", event });
   }
 
   /** Wakes the state machine when it next has something to do by time. */
-  #schedule(): void {
+  #scheduleTick(): void {
     const { request, context } = this.#options;
     const wakeAt = request.wakeAt;
     if (wakeAt === Infinity) {
@@ -357,10 +357,10 @@
     }
     clearTimeout(this.#timer);
     this.#timerAt = wakeAt;
-    const delay = Math.max(LEAST_SLEEP, wakeAt - context.clock.now());
+    const delay = Math.max(MIN_DELAY_MS, wakeAt - context.clock.now());
     this.#timer = setTimeout(() => {
       this.#timerAt = Infinity;
-      this.#notify({ kind: "tick" });
+      this.#sendEvent({ kind: "tick" });
     }, delay);
   }
 }
--- a/apps/heroncleatd/entry/request_services.ts
+++ b/apps/heroncleatd/entry/request_services.ts
@@ -5,7 +5,7 @@
   CustodyReply,
   RequestRecord,
 } from "@heroncleat/schema";
-import type { RouteAnswer } from "./route_answer.ts";
+import type { RouteResult } from "./route_result.ts";
 
 /** How a request ended at its owner. */
 type RequestEnd =
@@ -17,7 +17,7 @@
 
 /** What a request needs of the rest of the entry. */
 export type RequestServices = {
-  readonly copy: (to: string, message: CopyMessage) => Promise<CopyReply>;
+  readonly sendCopy: (to: string, message: CopyMessage) => Promise<CopyReply>;
   readonly chooseStandby: (exclude: readonly string[]) => string;
   /** Moves custody in the ledger; nothing when it can't be asked. */
   readonly moveStandby: (
@@ -32,16 +32,19 @@
   readonly route: (
     record: RequestRecord,
     options: { token: string; exclude: readonly string[]; isRetry: boolean },
-  ) => Promise<RouteAnswer>;
-  readonly attemptEnded: (
+  ) => Promise<RouteResult>;
+  readonly recordAttempt: (
     upstream: string,
     options: { token: string; outcome: "succeeded" | "failed" | "neutral" },
   ) => void;
-  readonly firstToken: (
+  readonly recordFirstToken: (
     upstream: string,
     times: { measured: Milliseconds; estimated: Milliseconds },
   ) => void;
-  readonly betweenTokens: (upstream: string, measured: Milliseconds) => void;
+  readonly recordTokenInterval: (
+    upstream: string,
+    measured: Milliseconds,
+  ) => void;
   readonly onAccepted: (record: RequestRecord) => void;
   readonly onEnded: (record: RequestRecord, end: RequestEnd) => void;
 };
--- a/apps/heroncleatd/entry/answer_source.ts
+++ b/apps/heroncleatd/entry/response_reader.ts
@@ -13,12 +13,12 @@
 import type { RequestMessage } from "./request_message.ts";
 
 /** Longest wait of one read. */
-const READ_WAIT = 2000;
-const CALL_MARGIN = 500;
-const RETRY_PAUSE = 100;
-const CUSTODY_TIMEOUT = 1500;
+const MAX_READ_WAIT_MS = 2000;
+const CALL_MARGIN_MS = 500;
+const RETRY_DELAY_MS = 100;
+const CUSTODY_TIMEOUT_MS = 1500;
 /** Time for a dead owner to be noticed and a standby to take over. */
-const TAKEOVER_WAIT = 8000;
+const MAX_TAKEOVER_WAIT_MS = 8000;
 
 /** Answer of a replica about custody. */
 type CustodyReply =
@@ -26,7 +26,7 @@
   | { readonly kind: "not_leader"; readonly leader: string };
 
 /** What reads need to find the entries that hold a request. */
-type AnswerSourceOptions = {
+type ResponseReaderOptions = {
   readonly context: EntryContext;
   readonly registry: Actor<RegistryMessage>;
   readonly members: () => readonly MemberRecord[];
@@ -36,12 +36,12 @@
  * Reads an answer piece by piece wherever it is held: here, at the owner or
  * standby that its identifier names, or where the ledger says it moved.
  */
-export class AnswerSource {
-  readonly #options: AnswerSourceOptions;
+export class ResponseReader {
+  readonly #options: ResponseReaderOptions;
   /** Actors of requests that callers here are reading. */
-  readonly #owners = new Map<string, Actor<RequestMessage>>();
+  readonly #requestActors = new Map<string, Actor<RequestMessage>>();
 
-  constructor(options: AnswerSourceOptions) {
+  constructor(options: ResponseReaderOptions) {
     this.#options = options;
   }
 
@@ -51,21 +51,24 @@
    */
   async read(
     query: Omit<AnswerQuery, "wait">,
-    until: Milliseconds,
+    deadlineAt: Milliseconds,
   ): Promise<ForwardedAnswer> {
     const startedAt = this.#now();
     while (true) {
-      const wait = Math.max(0, Math.min(READ_WAIT, until - this.#now()));
-      const answer = await this.#readOnce({ ...query, wait });
-      if (answer.found || answer.denied) {
-        return answer;
+      const wait = Math.max(
+        0,
+        Math.min(MAX_READ_WAIT_MS, deadlineAt - this.#now()),
+      );
+      const reply = await this.#readOnce({ ...query, wait });
+      if (reply.found || reply.denied) {
+        return reply;
       }
       // While a standby takes over, nobody answers for the request.
       const waited = this.#now() - startedAt;
-      if (waited >= TAKEOVER_WAIT || this.#now() >= until) {
+      if (waited >= MAX_TAKEOVER_WAIT_MS || this.#now() >= deadlineAt) {
         return NOT_FOUND;
       }
-      await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE));
+      await new Promise((resolve) => setTimeout(resolve, RETRY_DELAY_MS));
     }
   }
 
@@ -74,24 +77,24 @@
   }
 
   async #readOnce(query: AnswerQuery): Promise<ForwardedAnswer> {
-    const local = await this.#readHere(query);
-    if (local.found || local.denied) {
-      return local;
+    const localReply = await this.#readLocal(query);
+    if (localReply.found || localReply.denied) {
+      return localReply;
     }
     const { owner, standby } = parseRequestId(query.id);
-    const named = await this.#readAtFirst([owner, standby], query);
-    if (named.found || named.denied) {
-      return named;
+    const namedReply = await this.#readFirstFound([owner, standby], query);
+    if (namedReply.found || namedReply.denied) {
+      return namedReply;
     }
-    const moved = await this.#findHolders(query.id);
-    const others = moved.filter((holder) =>
+    const currentHolders = await this.#findHolders(query.id);
+    const others = currentHolders.filter((holder) =>
       holder !== owner && holder !== standby
     );
-    return await this.#readAtFirst(others, query);
+    return await this.#readFirstFound(others, query);
   }
 
   /** The first answer among some entries, this one left out. */
-  async #readAtFirst(
+  async #readFirstFound(
     holders: readonly string[],
     query: AnswerQuery,
   ): Promise<ForwardedAnswer> {
@@ -99,44 +102,44 @@
       if (holder === this.#options.context.name || holder === "") {
         continue;
       }
-      const answer = await this.#readAt(holder, query);
-      if (answer.found || answer.denied) {
-        return answer;
+      const reply = await this.#readFrom(holder, query);
+      if (reply.found || reply.denied) {
+        return reply;
       }
     }
     return NOT_FOUND;
   }
 
   /** Asks the request's own actor once it is known, else the registry. */
-  async #readHere(query: AnswerQuery): Promise<ForwardedAnswer> {
+  async #readLocal(query: AnswerQuery): Promise<ForwardedAnswer> {
     // The registry checked the workspace before it named the actor, so the
     // actor is remembered for that workspace alone.
     const readerKey =
       `${query.workspace.length}:${query.workspace}:${query.id}`;
-    const answer = await new Promise<ForwardedAnswer>((resolve) => {
+    const reply = await new Promise<ForwardedAnswer>((resolve) => {
       const { from, wait } = query;
-      const owner = this.#owners.get(readerKey);
+      const requestActor = this.#requestActors.get(readerKey);
       const message = { kind: "read" as const, from, wait, reply: resolve };
-      if (owner?.send(message)) {
+      if (requestActor?.send(message)) {
         return;
       }
       const sent = this.#options.registry.send({
         kind: "query",
         query,
-        onOwner: (actor) => this.#owners.set(readerKey, actor),
+        onOwner: (actor) => this.#requestActors.set(readerKey, actor),
         reply: resolve,
       });
       if (!sent) {
         resolve(NOT_FOUND);
       }
     });
-    if (!answer.found || answer.finished) {
-      this.#owners.delete(readerKey);
+    if (!reply.found || reply.finished) {
+      this.#requestActors.delete(readerKey);
     }
-    return answer;
+    return reply;
   }
 
-  async #readAt(
+  async #readFrom(
     holder: string,
     query: AnswerQuery,
   ): Promise<ForwardedAnswer> {
@@ -150,7 +153,7 @@
       return await this.#options.context.pool.call(
         member.address,
         "entry.query",
-        { parameters: query, timeout: query.wait + CALL_MARGIN },
+        { parameters: query, timeout: query.wait + CALL_MARGIN_MS },
       ) as ForwardedAnswer;
     } catch {
       return NOT_FOUND;
@@ -161,7 +164,7 @@
   async #findHolders(id: string): Promise<string[]> {
     const reply = await this.#options.context.control.call<CustodyReply>(
       "control.find_custody",
-      { parameters: { request: id }, timeout: CUSTODY_TIMEOUT },
+      { parameters: { request: id }, timeout: CUSTODY_TIMEOUT_MS },
     );
     return reply.kind === "found"
       ? [reply.custody.owner, reply.custody.standby]
--- a/apps/heroncleatd/entry/run_claimed.ts
+++ b/apps/heroncleatd/entry/run_claimed.ts
@@ -4,11 +4,11 @@
 import { ClaimClient } from "./claim_client.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import type { ServiceCall } from "./service_call.ts";
-import { dispatchService } from "./service_dispatcher.ts";
+import { dispatchService } from "./dispatch_service.ts";
 import type { ServiceOutcome } from "./service_outcome.ts";
 
-const CLAIM_TIMEOUT = 2500;
-const POLL_PAUSE = 100;
+const CLAIM_TIMEOUT_MS = 2500;
+const POLL_INTERVAL_MS = 100;
 
 /**
  * Runs a call at most once: claims its key in the ledger, sends it, stores
@@ -21,12 +21,12 @@
   const claims = new ClaimClient(parts.context.control);
   const reply = await claimCall(parts, call, claims);
   if (reply === undefined) {
-    releaseLater(call, claims);
-    return { kind: "not_run", fault: describeNoQuorum() };
+    releaseClaim(call, claims);
+    return { kind: "not_run", fault: createNoQuorumFault() };
   }
   switch (reply.outcome) {
     case "conflict":
-      return { kind: "not_run", fault: describeConflict() };
+      return { kind: "not_run", fault: createConflictFault() };
     case "exists":
       return await followClaim(parts, call, { claims, claim: reply.claim });
     case "claimed":
@@ -38,7 +38,7 @@
  * The claim may still be committed although no answer came. This request was
  * refused, so its key is freed for the next one as soon as that is possible.
  */
-function releaseLater(call: ServiceCall, claims: ClaimClient): void {
+function releaseClaim(call: ServiceCall, claims: ClaimClient): void {
   const { workspace } = call.routed;
   const { key, token } = call;
   void claims.resolve({ workspace, key, attempt: token }, {
@@ -52,17 +52,17 @@
   claims: ClaimClient,
 ): Promise<ClaimReply | undefined> {
   const { clock, name } = parts.context;
-  const left = call.until - clock.now();
+  const remaining = call.deadlineAt - clock.now();
   return claims.claim({
     kind: "claim",
     workspace: call.routed.workspace,
     key: call.key,
-    digest: digestOf(call),
+    digest: computeDigest(call),
     owner: name,
     attempt: call.token,
     at: 0,
-    deadline: clock.wall() + left,
-  }, Math.max(1, Math.min(left, CLAIM_TIMEOUT)));
+    deadline: clock.wall() + remaining,
+  }, Math.max(1, Math.min(remaining, CLAIM_TIMEOUT_MS)));
 }
 
 async function runOnce(
@@ -74,19 +74,21 @@
   if (claim.state !== "claimed") {
     return await followClaim(parts, call, options);
   }
-  const sent = await dispatchService(parts, call);
-  switch (sent.kind) {
+  const result = await dispatchService(parts, call);
+  switch (result.kind) {
     case "answered":
-      await claims.resolve(claim, { state: "done", outcome: sent.outcome });
-      return sent;
+      await claims.resolve(claim, { state: "done", outcome: result.outcome });
+      return result;
     case "not_run":
       await claims.resolve(claim, { state: "not_run" });
-      return sent;
+      return result;
     case "unknown":
       await claims.resolve(claim, { state: "unknown" });
       return {
         kind: "unknown",
-        fault: describeUnknown("the connection broke or the answer was late"),
+        fault: createUnknownFault(
+          "the connection broke or the answer was late",
+        ),
       };
   }
 }
@@ -99,10 +101,10 @@
 ): Promise<ServiceOutcome> {
   let claim: Claim | undefined = options.claim;
   while (claim !== undefined && isRunning(parts, claim)) {
-    if (parts.context.clock.now() >= call.until) {
-      return { kind: "unknown", fault: describeInProgress() };
+    if (parts.context.clock.now() >= call.deadlineAt) {
+      return { kind: "unknown", fault: createInProgressFault() };
     }
-    await new Promise((resolve) => setTimeout(resolve, POLL_PAUSE));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     claim = await options.claims.find(call.routed.workspace, call.key) ??
       claim;
   }
@@ -110,11 +112,11 @@
     return { kind: "answered", outcome: claim.outcome };
   }
   if (claim.state === "not_run") {
-    return { kind: "not_run", fault: describeNotRun() };
+    return { kind: "not_run", fault: createNotRunFault() };
   }
   return {
     kind: "unknown",
-    fault: describeUnknown("the first request with this key got no answer"),
+    fault: createUnknownFault("the first request with this key got no answer"),
   };
 }
 
@@ -124,11 +126,11 @@
     return false;
   }
   const owner = parts.members().find((member) => member.name === claim.owner);
-  const gone = owner === undefined || owner.state === "dead";
-  return !gone && parts.context.clock.wall() < claim.deadline;
+  const isOwnerGone = owner === undefined || owner.state === "dead";
+  return !isOwnerGone && parts.context.clock.wall() < claim.deadline;
 }
 
-function digestOf(call: ServiceCall): string {
+function computeDigest(call: ServiceCall): string {
   const { method, service, path } = call.routed;
   return createHash("sha256")
     .update(JSON.stringify([method, service, path]))
@@ -136,7 +138,7 @@
     .digest("hex");
 }
 
-function describeNoQuorum(): Fault {
+function createNoQuorumFault(): Fault {
   return createFault(
     "no_quorum",
     "The call could not be claimed, so it was not run. Remedy: send it again " +
@@ -145,7 +147,7 @@
   );
 }
 
-function describeConflict(): Fault {
+function createConflictFault(): Fault {
   return createFault(
     "conflict",
     "This Idempotency-Key was used for another request. Remedy: use a new " +
@@ -153,7 +155,7 @@
   );
 }
 
-function describeInProgress(): Fault {
+function createInProgressFault(): Fault {
   return createFault(
     "in_progress",
     "The first request with this key is still running. Remedy: ask again " +
@@ -162,7 +164,7 @@
   );
 }
 
-function describeNotRun(): Fault {
+function createNotRunFault(): Fault {
   return createFault(
     "upstream_failed",
     "The first request with this key was not run. Remedy: send it again with " +
@@ -171,7 +173,7 @@
   );
 }
 
-function describeUnknown(cause: string): Fault {
+function createUnknownFault(cause: string): Fault {
   return createFault(
     "outcome_unknown",
     `The call was sent and its outcome is not known (${cause}). Remedy: check ` +
--- a/apps/heroncleatd/entry/send_once.ts
+++ b/apps/heroncleatd/entry/send_once.ts
@@ -17,7 +17,7 @@
   };
 
 /** Largest answer of a service that is passed on. */
-const MOST_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 /**
  * Sends a call to one upstream, once. Only an error of connecting, or the
  * upstream's own word for this very attempt, counts as not run.
@@ -42,13 +42,13 @@
       signal: AbortSignal.timeout(Math.max(1, Math.ceil(options.timeout))),
     });
   } catch (error) {
-    return describeError(error as NodeJS.ErrnoException);
+    return createErrorOutcome(error as NodeJS.ErrnoException);
   }
   if (response.headers["heroncleat-not-run"] === options.attempt) {
     await response.body.dump();
     return { kind: "not_run", message: "the service refused it" };
   }
-  return await readAnswer(response);
+  return await readResponse(response);
 }
 
 function buildHeaders(
@@ -63,7 +63,7 @@
   };
 }
 
-function describeError(error: NodeJS.ErrnoException): AttemptOutcome {
+function createErrorOutcome(error: NodeJS.ErrnoException): AttemptOutcome {
   const code = error.code ?? "";
   const message = error.message === "" ? code : error.message;
   return CONNECT_ERRORS.includes(code)
@@ -72,7 +72,7 @@
 }
 
 /** An answer counts only when all of it came. */
-async function readAnswer(
+async function readResponse(
   response: Dispatcher.ResponseData,
 ): Promise<AttemptOutcome> {
   const chunks: Buffer[] = [];
@@ -80,7 +80,7 @@
   try {
     for await (const chunk of response.body) {
       length += (chunk as Buffer).length;
-      if (length > MOST_ANSWER_BYTES) {
+      if (length > MAX_RESPONSE_BYTES) {
         return {
           kind: "unknown",
           message: "the answer is too large",
--- a/apps/heroncleatd/entry/send_answer.ts
+++ b/apps/heroncleatd/entry/send_response.ts
@@ -9,33 +9,33 @@
 import { sendJson } from "../common/send_json.ts";
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
-import { formatAnswer } from "./format_answer.ts";
-import { otherEntries } from "./other_entries.ts";
+import { responseFormatter } from "./response_formatter.ts";
+import { listOtherEntries } from "./list_other_entries.ts";
 
 /** Which answer is sent, and from where on. */
-type AnswerPosition = {
+type ResponsePosition = {
   readonly id: string;
   readonly from: number;
-  readonly until: Milliseconds;
+  readonly deadlineAt: Milliseconds;
 };
 
 /** How a stream came to its end. */
 type StreamEnd = "whole" | "lost" | "caller_gone" | "moved";
 
-const RECONNECT_DELAY = 100;
+const RECONNECT_DELAY_MS = 100;
 
 /**
  * Sends an answer to its caller as it comes, at the caller's pace: pieces are
  * read only when the connection can take them.
  */
-export async function sendAnswer(
+export async function sendResponse(
   parts: EntryParts,
   call: CallerRequest,
-  position: AnswerPosition,
+  position: ResponsePosition,
 ): Promise<void> {
-  const first = await read(parts, call, position);
+  const first = await readNext(parts, call, position);
   if (!first.found || first.record === undefined) {
-    sendFault(call.response, describeNotFound());
+    sendFault(call.response, createNotFoundFault());
     return;
   }
   call.response.setHeader("heroncleat-request", position.id);
@@ -43,23 +43,23 @@
   if (first.record.stream) {
     await sendStream(parts, call, { position, first, record: first.record });
   } else {
-    await sendWhole(parts, call, { position, first, record: first.record });
+    await sendComplete(parts, call, { position, first, record: first.record });
   }
 }
 
-function read(
+function readNext(
   parts: EntryParts,
   call: CallerRequest,
-  position: AnswerPosition,
+  position: ResponsePosition,
 ): Promise<ForwardedAnswer> {
-  const { id, from, until } = position;
+  const { id, from, deadlineAt } = position;
   const { workspace } = call;
-  return parts.answers.read({ id, workspace, from }, until);
+  return parts.responses.read({ id, workspace, from }, deadlineAt);
 }
 
 /** What both ways of sending start from. */
-type Opening = {
-  readonly position: AnswerPosition;
+type ResponseStart = {
+  readonly position: ResponsePosition;
   readonly first: ForwardedAnswer;
   readonly record: RequestRecord;
 };
@@ -67,98 +67,98 @@
 async function sendStream(
   parts: EntryParts,
   call: CallerRequest,
-  opening: Opening,
+  start: ResponseStart,
 ): Promise<void> {
   const { response } = call;
   response.writeHead(200, {
     "content-type": "text/event-stream",
     "cache-control": "no-store",
   });
-  const end = await writePieces(parts, call, opening);
+  const end = await writeChunks(parts, call, start);
   if (end === "lost") {
     writeError(response, parts);
   }
   if (end === "moved") {
-    response.write(`retry: ${RECONNECT_DELAY}\n: continue elsewhere\n\n`);
+    response.write(`retry: ${RECONNECT_DELAY_MS}\n: continue elsewhere\n\n`);
   }
   response.end();
 }
 
-async function writePieces(
+async function writeChunks(
   parts: EntryParts,
   call: CallerRequest,
-  opening: Opening,
+  start: ResponseStart,
 ): Promise<StreamEnd> {
   const { response } = call;
-  const { record, position } = opening;
+  const { record, position } = start;
   const head = { record, at: parts.context.clock.wall() };
-  let answer = opening.first;
+  let reply = start.first;
   let from = position.from;
   while (true) {
-    for (const piece of answer.pieces) {
-      response.write(formatAnswer.piece(head, piece));
+    for (const chunk of reply.pieces) {
+      response.write(responseFormatter.chunk(head, chunk));
     }
-    from += answer.pieces.length;
-    if (answer.finished) {
-      response.write(formatAnswer.end(head, answer.finishReason));
+    from += reply.pieces.length;
+    if (reply.finished) {
+      response.write(responseFormatter.end(head, reply.finishReason));
       return "whole";
     }
-    await drained(response);
+    await waitForDrain(response);
     if (response.destroyed) {
       return "caller_gone";
     }
-    if (parts.isLeaving() && !answer.found) {
+    if (parts.isShuttingDown() && !reply.found) {
       return "moved";
     }
-    if (parts.context.clock.now() >= position.until) {
+    if (parts.context.clock.now() >= position.deadlineAt) {
       return "lost";
     }
-    answer = await read(parts, call, { ...position, from });
-    if (!answer.found) {
-      return parts.isLeaving() ? "moved" : "lost";
+    reply = await readNext(parts, call, { ...position, from });
+    if (!reply.found) {
+      return parts.isShuttingDown() ? "moved" : "lost";
     }
   }
 }
 
-async function sendWhole(
+async function sendComplete(
   parts: EntryParts,
   call: CallerRequest,
-  opening: Opening,
+  start: ResponseStart,
 ): Promise<void> {
-  const { record, position } = opening;
-  const pieces: TextPiece[] = [];
-  let answer = opening.first;
+  const { record, position } = start;
+  const chunks: TextPiece[] = [];
+  let reply = start.first;
   while (true) {
-    pieces.push(...answer.pieces);
-    if (answer.finished) {
+    chunks.push(...reply.pieces);
+    if (reply.finished) {
       const head = { record, at: parts.context.clock.wall() };
-      const reason = answer.finishReason;
+      const reason = reply.finishReason;
       sendJson(
         call.response,
         200,
-        formatAnswer.whole(head, { pieces, reason }),
+        responseFormatter.complete(head, { pieces: chunks, reason }),
       );
       return;
     }
-    const late = parts.context.clock.now() >= position.until;
+    const isLate = parts.context.clock.now() >= position.deadlineAt;
     if (call.response.destroyed) {
       return;
     }
-    if (!answer.found || late) {
-      sendFault(call.response, describeLost(), {
-        entries: otherEntries(parts),
+    if (!reply.found || isLate) {
+      sendFault(call.response, createIncompleteFault(), {
+        entries: listOtherEntries(parts),
       });
       return;
     }
-    answer = await read(parts, call, {
+    reply = await readNext(parts, call, {
       ...position,
-      from: position.from + pieces.length,
+      from: position.from + chunks.length,
     });
   }
 }
 
 /** Resolves once the connection takes more, or is gone. */
-function drained(response: ServerResponse): Promise<void> {
+function waitForDrain(response: ServerResponse): Promise<void> {
   if (!response.writableNeedDrain || response.destroyed) {
     return Promise.resolve();
   }
@@ -174,12 +174,12 @@
 }
 
 function writeError(response: ServerResponse, parts: EntryParts): void {
-  const { kind, message, run } = describeLost();
-  const error = { kind, message, run, entries: otherEntries(parts) };
+  const { kind, message, run } = createIncompleteFault();
+  const error = { kind, message, run, entries: listOtherEntries(parts) };
   response.write(`event: error\ndata: ${JSON.stringify({ error })}\n\n`);
 }
 
-function describeLost() {
+function createIncompleteFault() {
   return createFault(
     "upstream_failed",
     "The answer did not come whole before the deadline. Remedy: fetch " +
@@ -188,7 +188,7 @@
   );
 }
 
-function describeNotFound() {
+function createNotFoundFault() {
   return createFault(
     "not_found",
     "No entry holds this answer for your workspace. Remedy: check the " +
--- a/apps/heroncleatd/entry/service_call.ts
+++ b/apps/heroncleatd/entry/service_call.ts
@@ -13,5 +13,5 @@
   readonly isIdempotent: boolean;
   readonly identity: RequestIdentity;
   /** Until when the call is of use, on the clock of `now`. */
-  readonly until: Milliseconds;
+  readonly deadlineAt: Milliseconds;
 };
--- a/apps/heroncleatd/entry/start_entry.ts
+++ b/apps/heroncleatd/entry/start_entry.ts
@@ -10,14 +10,14 @@
 import type { KeyRing } from "../common/key_ring.ts";
 import type { ProcessContext } from "../common/process_context.ts";
 import type { RunningRole } from "../common/running_role.ts";
-import { AnswerSource } from "./answer_source.ts";
+import { ResponseReader } from "./response_reader.ts";
 import { CallerServer } from "./caller_server.ts";
 import { ConfigurationLease } from "./configuration_lease.ts";
 import { ConfigurationRenewer } from "./configuration_renewer.ts";
 import { CopySender } from "./copy_sender.ts";
 import { createChainHash } from "./create_chain_hash.ts";
-import { DispatchHost } from "./dispatch_host.ts";
-import { CrashSharing } from "./crash_sharing.ts";
+import { RequestDispatcher } from "./request_dispatcher.ts";
+import { SuspectSync } from "./suspect_sync.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 import type { EntryContext } from "./entry_context.ts";
 import type { EntryParts } from "./entry_parts.ts";
@@ -25,31 +25,31 @@
 import { RequestRegistry } from "./request_registry.ts";
 import { startMembership } from "./start_membership.ts";
 
-const DISPATCH_TICK = 20;
-const REGISTRY_TICK = 500;
-const EXPIRE_INTERVAL = 5000;
-const COPY_CALL_TIMEOUT = 350;
-const STOP_CHECK = 20;
+const DISPATCH_TICK_MS = 20;
+const REGISTRY_TICK_MS = 500;
+const EXPIRE_INTERVAL_MS = 5000;
+const COPY_CALL_TIMEOUT_MS = 350;
+const SHUTDOWN_POLL_INTERVAL_MS = 20;
 /** Kept back from the time limit for handing over what is left. */
-const HAND_OVER_RESERVE = 2500;
-const LEAVE_SPREAD = 100;
+const HAND_OVER_RESERVE_MS = 2500;
+const FLUSH_DELAY_MS = 100;
 
 /** Starts the entry role. */
 export async function startEntry(
   context: ProcessContext,
   callers: KeyRing,
 ): Promise<RunningRole> {
-  const crashes = new CrashSharing(context);
+  const suspectSync = new SuspectSync(context);
   return new EntryRole(
-    await createContext(context, callers, crashes),
-    crashes,
+    await createContext(context, callers, suspectSync),
+    suspectSync,
   );
 }
 
 async function createContext(
   context: ProcessContext,
   callers: KeyRing,
-  crashes: CrashSharing,
+  suspectSync: SuspectSync,
 ): Promise<EntryContext> {
   const entry = context.settings.entry!;
   const { daemon } = context.settings;
@@ -58,15 +58,15 @@
     entry,
     name: daemon.name,
     zone: daemon.zone,
-    control: new ControlClient(shuffle(splitList(entry.control)), {
+    control: new ControlClient(rotateRandomly(splitList(entry.control)), {
       pool: context.pool,
       now: () => context.clock.now(),
     }),
     lease: new ConfigurationLease(context.clock),
     callers,
-    crashes: crashes.watch,
-    startOf: (upstream) => crashes.startOf(upstream),
-    isLeavingUpstream: (upstream) => crashes.isLeaving(upstream),
+    crashes: suspectSync.watcher,
+    instanceIdOf: (upstream) => suspectSync.instanceIdOf(upstream),
+    isDepartingUpstream: (upstream) => suspectSync.isDeparting(upstream),
     chainHash: await createChainHash(),
     upstreams: new Agent({
       connect: { timeout: entry.connect_timeout },
@@ -78,27 +78,27 @@
 }
 
 /** Entries start at different replicas, so that their reads spread. */
-function shuffle(addresses: readonly string[]): string[] {
-  const start = Math.floor(Math.random() * addresses.length);
-  return [...addresses.slice(start), ...addresses.slice(0, start)];
+function rotateRandomly(addresses: readonly string[]): string[] {
+  const offset = Math.floor(Math.random() * addresses.length);
+  return [...addresses.slice(offset), ...addresses.slice(0, offset)];
 }
 
 /** The entry role of one process. */
 class EntryRole implements RunningRole {
   readonly #context: EntryContext;
-  readonly #crashes: CrashSharing;
+  readonly #suspectSync: SuspectSync;
   readonly #parts: EntryParts;
   readonly #server: CallerServer;
   readonly #renewer: ConfigurationRenewer;
   readonly #stopMembership: () => void;
   readonly #timers: NodeJS.Timeout[] = [];
   #members: readonly MemberRecord[] = [];
-  #informed = false;
-  #leaving = false;
+  #isSynchronized = false;
+  #isShuttingDown = false;
 
-  constructor(context: EntryContext, crashes: CrashSharing) {
+  constructor(context: EntryContext, suspectSync: SuspectSync) {
     this.#context = context;
-    this.#crashes = crashes;
+    this.#suspectSync = suspectSync;
     const dispatch = this.#startDispatch();
     const registry = this.#startRegistry(dispatch);
     const membership = this.#startMembership(dispatch, registry);
@@ -109,10 +109,10 @@
       membership: membership.actor,
       dispatch,
       registry,
-      answers: new AnswerSource({ context, registry, members }),
+      responses: new ResponseReader({ context, registry, members }),
       members,
-      isInformed: () => this.#informed,
-      isLeaving: () => this.#leaving,
+      isSynchronized: () => this.#isSynchronized,
+      isShuttingDown: () => this.#isShuttingDown,
     };
     this.#server = new CallerServer(this.#parts);
     this.#renewer = new ConfigurationRenewer(context, (view) => {
@@ -127,9 +127,9 @@
   async start(): Promise<void> {
     const { dispatch, registry } = this.#parts;
     this.#timers.push(
-      setInterval(() => dispatch.send({ kind: "tick" }), DISPATCH_TICK),
-      setInterval(() => registry.send({ kind: "tick" }), REGISTRY_TICK),
-      setInterval(() => this.#crashes.expire(), EXPIRE_INTERVAL),
+      setInterval(() => dispatch.send({ kind: "tick" }), DISPATCH_TICK_MS),
+      setInterval(() => registry.send({ kind: "tick" }), REGISTRY_TICK_MS),
+      setInterval(() => this.#suspectSync.expire(), EXPIRE_INTERVAL_MS),
     );
     this.#renewer.start();
     await this.#server.listen();
@@ -141,14 +141,14 @@
   async stop(limit: number): Promise<void> {
     const log = this.#context.log("entry");
     log.info("Leaves: takes no new requests");
-    this.#leaving = true;
+    this.#isShuttingDown = true;
     const { membership } = this.#parts;
     membership.send({ kind: "event", event: { kind: "leave" } });
-    await sleep(LEAVE_SPREAD);
+    await sleep(FLUSH_DELAY_MS);
     this.#server.stopListening();
-    await this.#finishRequests(limit - HAND_OVER_RESERVE);
+    await this.#finishRequests(limit - HAND_OVER_RESERVE_MS);
     await this.#handOver();
-    await this.#flushCallers();
+    await this.#waitForFlush();
     this.#renewer.stop();
     this.#stopMembership();
     for (const timer of this.#timers) {
@@ -159,7 +159,7 @@
   }
 
   #startDispatch(): Actor<DispatchMessage> {
-    const host = new DispatchHost(this.#context);
+    const host = new RequestDispatcher(this.#context);
     return new Actor(this.#context.system, {
       name: "dispatch",
       log: this.#context.log("dispatch"),
@@ -171,7 +171,7 @@
     const context = this.#context;
     const registry: RequestRegistry = new RequestRegistry({
       context,
-      copies: new CopySender(context.pool, COPY_CALL_TIMEOUT),
+      copies: new CopySender(context.pool, COPY_CALL_TIMEOUT_MS),
       dispatch,
       sendSelf: (message) => actor.send(message),
     });
@@ -220,23 +220,23 @@
     return startMembership(this.#context, {
       onMembers: (members) => {
         this.#members = members;
-        this.#crashes.noteMembers(members);
+        this.#suspectSync.updateMembers(members);
         registry.send({ kind: "members", members });
         const alive = members.filter((member) => member.state === "alive");
         dispatch.send({ kind: "entries", alive: alive.length });
       },
       onUpstream: (upstream) => {
         const { announcement } = upstream;
-        this.#crashes.noteUpstream(announcement);
+        this.#suspectSync.recordAnnouncement(announcement);
         dispatch.send({ kind: "upstream", announcement });
         registry.send({ kind: "upstream", upstream });
       },
       onUpstreamLapsed: (name) => {
-        this.#crashes.noteLapse(name);
+        this.#suspectSync.recordLapse(name);
         dispatch.send({ kind: "upstream_lapsed", name });
       },
-      onInformed: () => {
-        this.#informed = true;
+      onSynchronized: () => {
+        this.#isSynchronized = true;
       },
     });
   }
@@ -245,7 +245,7 @@
   async #finishRequests(limit: number): Promise<void> {
     const until = Date.now() + limit;
     while (Date.now() < until && await this.#countOwned() > 0) {
-      await sleep(STOP_CHECK);
+      await sleep(SHUTDOWN_POLL_INTERVAL_MS);
     }
   }
 
@@ -267,16 +267,16 @@
     const log = this.#context.log("entry");
     log.info(`Hands ${owned} unfinished requests over`);
     this.#parts.registry.send({ kind: "hand_over" });
-    await this.#finishRequests(HAND_OVER_RESERVE);
-    const left = await this.#countOwned();
-    if (left > 0) {
-      log.warn(`${left} requests are left to their standbys`);
+    await this.#finishRequests(HAND_OVER_RESERVE_MS);
+    const remaining = await this.#countOwned();
+    if (remaining > 0) {
+      log.warn(`${remaining} requests are left to their standbys`);
     }
   }
 
   /** Lets the last bytes of answers leave. */
-  async #flushCallers(): Promise<void> {
-    await sleep(LEAVE_SPREAD);
+  async #waitForFlush(): Promise<void> {
+    await sleep(FLUSH_DELAY_MS);
   }
 }
 
--- a/apps/heroncleatd/entry/start_membership.ts
+++ b/apps/heroncleatd/entry/start_membership.ts
@@ -8,14 +8,14 @@
 import { Actor } from "../common/actor.ts";
 import type { EntryContext } from "./entry_context.ts";
 import type { MembershipListener } from "./membership_listener.ts";
-import type { MembershipActorMessage } from "./membership_message.ts";
+import type { MembershipActorMessage } from "./membership_actor_message.ts";
 
-const TICK = 25;
+const TICK_INTERVAL_MS = 25;
 const INDIRECT_PROBES = 3;
 const GOSSIP_RECORDS = 12;
-const SYNC_INTERVAL = 2000;
-const RETENTION = 60_000;
-const NEWS_FANOUT = 64;
+const SYNC_INTERVAL_MS = 2000;
+const RETENTION_MS = 60_000;
+const UPDATE_FANOUT = 64;
 
 /** A running membership actor. */
 type RunningMembership = {
@@ -48,14 +48,14 @@
     },
     "entry.status": () => readStatus(actor, context),
   });
-  const ticker = setInterval(
+  const timer = setInterval(
     () => actor.send({ kind: "event", event: { kind: "tick" } }),
-    TICK,
+    TICK_INTERVAL_MS,
   );
   return {
     actor,
     stop: () => {
-      clearInterval(ticker);
+      clearInterval(timer);
       actor.stop();
     },
   };
@@ -77,9 +77,9 @@
     upstreamLease: entry.upstream_lease,
     indirectProbes: INDIRECT_PROBES,
     gossipRecords: GOSSIP_RECORDS,
-    syncInterval: SYNC_INTERVAL,
-    retention: RETENTION,
-    newsFanout: NEWS_FANOUT,
+    syncInterval: SYNC_INTERVAL_MS,
+    retention: RETENTION_MS,
+    newsFanout: UPDATE_FANOUT,
   }, Math.random);
 }
 
@@ -94,7 +94,7 @@
   const { context, membership } = options;
   let membersChanged = false;
   for (const effect of membership.handle(event, context.clock.now())) {
-    carryOut(effect, options);
+    runEffect(effect, options);
     membersChanged ||= effect.kind === "member_changed";
   }
   if (membersChanged) {
@@ -102,7 +102,7 @@
   }
 }
 
-function carryOut(
+function runEffect(
   effect: MembershipEffect,
   options: { context: EntryContext; listener: MembershipListener },
 ): void {
@@ -125,7 +125,7 @@
       return;
     case "informed":
       context.log("membership").info("Informed of the upstreams");
-      listener.onInformed();
+      listener.onSynchronized();
       return;
   }
 }
--- a/apps/heroncleatd/entry/crash_sharing.ts
+++ b/apps/heroncleatd/entry/suspect_sync.ts
@@ -16,137 +16,151 @@
 import type { ProcessContext } from "../common/process_context.ts";
 
 /** Requests that one message names. */
-const MOST_IN_MESSAGE = 50;
-const ASK_TIMEOUT: Milliseconds = 1000;
+const MAX_SUSPECTS_PER_MESSAGE = 50;
+const FETCH_TIMEOUT: Milliseconds = 1000;
 
 /**
  * Which requests upstreams ended under, as this entry saw it and as the others
  * tell. What is news is told to all of them at once; an entry that starts, or
  * that was cut off, asks each one that it finds alive.
  */
-export class CrashSharing {
-  readonly watch: CrashWatch;
+export class SuspectSync {
+  readonly watcher: CrashWatch;
   readonly #context: ProcessContext;
-  readonly #book: SuspectRegistry;
+  readonly #registry: SuspectRegistry;
   /** Incarnations of the upstreams that announce themselves, by name. */
-  readonly #upstreams = new Map<string, number>();
+  readonly #incarnations = new Map<string, number>();
   /** Those that have said that they leave, and end as they said. */
-  readonly #leaving = new Set<string>();
+  readonly #departing = new Set<string>();
   /** Their starts. */
-  readonly #living = new Set<string>();
-  #alive = new Map<string, MemberRecord>();
+  readonly #runningInstances = new Set<string>();
+  #aliveMembers = new Map<string, MemberRecord>();
 
   constructor(context: ProcessContext) {
     const { clock, metrics } = context;
     this.#context = context;
-    this.#book = new SuspectRegistry({
+    this.#registry = new SuspectRegistry({
       revisions: new RevisionCounter(),
       // Those of other services make rejections later, never wrong.
-      countUpstreams: () => this.#upstreams.size,
+      countUpstreams: () => this.#incarnations.size,
     });
-    this.watch = new CrashWatch({
-      book: this.#book,
+    this.watcher = new CrashWatch({
+      book: this.#registry,
       clock,
       log: context.log("crashes"),
       metrics,
       probe: probeUpstream,
-      isOver: (start) => !this.#living.has(start),
+      isOver: (instance) => !this.#runningInstances.has(instance),
       // The router leaves upstreams alone that fail.
       onEnd: () => {},
-      report: (news) => this.#tell([...this.#alive.values()], news),
+      report: (changed) =>
+        this.#send([...this.#aliveMembers.values()], changed),
     });
     context.serve({
       "entry.suspects": (parameters) => this.#receive(parameters),
-      "entry.known_suspects": () => this.#book.changesSince(0, clock.steady()),
+      "entry.known_suspects": () =>
+        this.#registry.changesSince(0, clock.steady()),
     });
   }
 
   /** The identity of the present start of an upstream. */
-  startOf(name: string): string {
-    return instanceId(name, this.#upstreams.get(name));
+  instanceIdOf(name: string): string {
+    return instanceId(name, this.#incarnations.get(name));
   }
 
-  isLeaving(name: string): boolean {
-    return this.#leaving.has(name);
+  isDeparting(name: string): boolean {
+    return this.#departing.has(name);
   }
 
   /** Takes an announcement in; a later incarnation ends the one before. */
-  noteUpstream({ name, incarnation, state }: Announcement): void {
+  recordAnnouncement({ name, incarnation, state }: Announcement): void {
     if (state === "leaving") {
-      this.#leaving.add(name);
+      this.#departing.add(name);
     } else {
-      this.#leaving.delete(name);
+      this.#departing.delete(name);
     }
-    const before = this.#upstreams.get(name);
-    if (before === undefined || incarnation > before) {
-      const ended = this.startOf(name);
-      this.#upstreams.set(name, incarnation);
-      this.#living.add(this.startOf(name));
-      if (before !== undefined) {
-        this.#living.delete(ended);
-        this.watch.noteEnd(ended);
+    const previousIncarnation = this.#incarnations.get(name);
+    if (
+      previousIncarnation === undefined || incarnation > previousIncarnation
+    ) {
+      const previousInstance = this.instanceIdOf(name);
+      this.#incarnations.set(name, incarnation);
+      this.#runningInstances.add(this.instanceIdOf(name));
+      if (previousIncarnation !== undefined) {
+        this.#runningInstances.delete(previousInstance);
+        this.watcher.noteEnd(previousInstance);
       }
     }
   }
 
-  noteLapse(name: string): void {
-    this.#living.delete(this.startOf(name));
-    this.#upstreams.delete(name);
-    this.#leaving.delete(name);
+  recordLapse(name: string): void {
+    this.#runningInstances.delete(this.instanceIdOf(name));
+    this.#incarnations.delete(name);
+    this.#departing.delete(name);
   }
 
   /** Takes in which entries there are, and asks those that are new. */
-  noteMembers(members: readonly MemberRecord[]): void {
+  updateMembers(members: readonly MemberRecord[]): void {
     const { name } = this.#context.settings.daemon;
-    const alive = new Map<string, MemberRecord>();
+    const aliveMembers = new Map<string, MemberRecord>();
     for (const member of members) {
       if (member.state !== "alive" || member.name === name) {
         continue;
       }
-      alive.set(member.name, member);
-      if (!this.#alive.has(member.name)) {
-        void this.#ask(member);
+      aliveMembers.set(member.name, member);
+      if (!this.#aliveMembers.has(member.name)) {
+        void this.#exchangeWith(member);
       }
     }
-    this.#alive = alive;
+    this.#aliveMembers = aliveMembers;
   }
 
   /** Forgets what is remembered for long enough. */
   expire(): void {
-    this.watch.expire();
+    this.watcher.expire();
   }
 
   #receive(parameters: unknown): void {
     const notice = { kind: "suspects", ...(parameters as object) };
     if (checkEntryNotice(notice)) {
-      this.watch.learn((notice as SuspectNotice).suspects);
+      this.watcher.learn((notice as SuspectNotice).suspects);
     }
   }
 
-  #tell(
+  #send(
     members: readonly MemberRecord[],
     suspects: readonly ReportedSuspect[],
   ): void {
-    for (let at = 0; at < suspects.length; at += MOST_IN_MESSAGE) {
-      const told = suspects.slice(at, at + MOST_IN_MESSAGE);
+    for (
+      let offset = 0;
+      offset < suspects.length;
+      offset += MAX_SUSPECTS_PER_MESSAGE
+    ) {
+      const batch = suspects.slice(offset, offset + MAX_SUSPECTS_PER_MESSAGE);
       for (const { address } of members) {
         this.#context.pool.notify(address, "entry.suspects", {
-          suspects: told,
+          suspects: batch,
         });
       }
     }
   }
 
   /** Both sides then know what either knew. */
-  async #ask(member: MemberRecord): Promise<void> {
+  async #exchangeWith(member: MemberRecord): Promise<void> {
     const { pool, clock, log } = this.#context;
     try {
       const suspects = await pool.call(member.address, "entry.known_suspects", {
         parameters: {},
-        timeout: ASK_TIMEOUT,
+        timeout: FETCH_TIMEOUT,
       }) as readonly ReportedSuspect[];
-      for (let at = 0; at < suspects.length; at += MOST_IN_MESSAGE) {
-        this.#receive({ suspects: suspects.slice(at, at + MOST_IN_MESSAGE) });
+      for (
+        let offset = 0;
+        offset < suspects.length;
+        offset += MAX_SUSPECTS_PER_MESSAGE
+      ) {
+        this.#receive({
+          suspects: suspects.slice(offset, offset + MAX_SUSPECTS_PER_MESSAGE),
+        });
       }
     } catch (error) {
       log("crashes").warn(
@@ -154,6 +168,6 @@
         { error: String(error) },
       );
     }
-    this.#tell([member], this.#book.changesSince(0, clock.steady()));
+    this.#send([member], this.#registry.changesSince(0, clock.steady()));
   }
 }
--- a/apps/heroncleatd/entry/upstream_stream.ts
+++ b/apps/heroncleatd/entry/upstream_stream.ts
@@ -11,9 +11,9 @@
 
 /** What the reader of a stream gets, in order. */
 type StreamHandlers = {
-  readonly onPiece: (place: number, text: string) => void;
+  readonly onChunk: (index: number, text: string) => void;
   /** The upstream marked the end; `pieces` were sent in all. */
-  readonly onFinished: (pieces: number, reason: string) => void;
+  readonly onFinished: (chunkCount: number, reason: string) => void;
   /** The stream broke off, or never began. */
   readonly onFailed: (failure: StreamFailure) => void;
 };
@@ -38,7 +38,7 @@
 };
 
 const END_MARK = "[DONE]";
-const END_OF_BODY = "the stream ended without its end mark";
+const MISSING_END_MARK = "the stream ended without its end mark";
 
 /**
  * One streamed generation at an upstream. An answer counts as whole only when
@@ -47,9 +47,9 @@
 export class UpstreamStream {
   readonly #options: StreamOptions;
   readonly #abort = new AbortController();
-  #pieces = 0;
-  #reason = "";
-  #ended = false;
+  #chunkCount = 0;
+  #finishReason = "";
+  #isEnded = false;
 
   constructor(options: StreamOptions) {
     this.#options = options;
@@ -60,8 +60,8 @@
   cancel(): void {
     // An abort closes the connection, which a finished stream leaves for the
     // next request.
-    if (!this.#ended) {
-      this.#ended = true;
+    if (!this.#isEnded) {
+      this.#isEnded = true;
       this.#abort.abort();
     }
   }
@@ -75,7 +75,7 @@
         return;
       }
       await this.#read(response.body);
-      this.#fail(END_OF_BODY, true);
+      this.#fail(MISSING_END_MARK, true);
     } catch (error) {
       const { message, code = "" } = error as NodeJS.ErrnoException;
       const isConnected = !CONNECT_ERRORS.includes(code);
@@ -110,7 +110,7 @@
   }
 
   #onEvent(event: EventSourceMessage): void {
-    if (this.#ended) {
+    if (this.#isEnded) {
       return;
     }
     if (event.data === END_MARK) {
@@ -121,24 +121,24 @@
     const choice = value.choices?.[0];
     const text = choice?.delta?.content ?? choice?.text ?? "";
     if (text !== "") {
-      this.#options.handlers.onPiece(this.#pieces, text);
-      this.#pieces += 1;
+      this.#options.handlers.onChunk(this.#chunkCount, text);
+      this.#chunkCount += 1;
     }
-    this.#reason = choice?.finish_reason ?? this.#reason;
+    this.#finishReason = choice?.finish_reason ?? this.#finishReason;
   }
 
   #finish(): void {
-    if (this.#reason === "") {
+    if (this.#finishReason === "") {
       this.#fail("the stream ended without a finish reason", false);
       return;
     }
-    this.#ended = true;
-    this.#options.handlers.onFinished(this.#pieces, this.#reason);
+    this.#isEnded = true;
+    this.#options.handlers.onFinished(this.#chunkCount, this.#finishReason);
   }
 
   #fail(message: string, isBroken: boolean): void {
-    if (!this.#ended) {
-      this.#ended = true;
+    if (!this.#isEnded) {
+      this.#isEnded = true;
       this.#options.handlers.onFailed({ message, isBroken });
     }
   }
--- a/apps/heroncleatd/main.ts
+++ b/apps/heroncleatd/main.ts
@@ -26,7 +26,7 @@
 import { startEntry } from "./entry/start_entry.ts";
 
 const VERSION = "0.1.0";
-const CONNECT_TIMEOUT = 1000;
+const CONNECT_TIMEOUT_MS = 1000;
 const ANY_HOST = "0.0.0.0";
 const HELP = `heroncleatd, the serving daemon.
 
@@ -42,17 +42,19 @@
 `;
 
 const options = readOptions();
-const settings = orExit(loadSettings(options.settings));
+const settings = unwrapOrExit(loadSettings(options.settings));
 const roles = splitList(settings.daemon.roles);
-const sharedSecret = orExit(readSecret(settings.security.shared_secret_file));
+const sharedSecret = unwrapOrExit(
+  readSecret(settings.security.shared_secret_file),
+);
 const callers = roles.includes("entry")
-  ? orExit(readKeyRing(
+  ? unwrapOrExit(readKeyRing(
     settings.security.caller_keys_file,
     "security.caller_keys_file",
   ))
   : undefined;
 const operators = roles.includes("control")
-  ? orExit(readKeyRing(
+  ? unwrapOrExit(readKeyRing(
     settings.security.operator_tokens_file,
     "security.operator_tokens_file",
   ))
@@ -72,8 +74,8 @@
   });
   const pool = new PeerPool({
     secret: sharedSecret,
-    connectTimeout: CONNECT_TIMEOUT,
-    localHost: ownHost(checked),
+    connectTimeout: CONNECT_TIMEOUT_MS,
+    localHost: localHost(checked),
   });
   const server = new PeerServer({
     address: checked.daemon.peer_address,
@@ -122,7 +124,7 @@
 }
 
 /** On a VM with several addresses, peers see the one from the settings. */
-function ownHost(checked: Settings): string {
+function localHost(checked: Settings): string {
   const { host } = splitAddress(checked.daemon.peer_address);
   return host === ANY_HOST ? "" : host;
 }
@@ -177,7 +179,7 @@
   process.exit(ExitCode.badSettings);
 }
 
-function orExit<Value>(
+function unwrapOrExit<Value>(
   result: { isOk: true; value: Value } | { isOk: false; error: Fault },
 ): Value {
   if (result.isOk) {
--- a/apps/heroncleatd/tests/callers_api_test.ts
+++ b/apps/heroncleatd/tests/callers_api_test.ts
@@ -28,7 +28,7 @@
 
 /** Sends raw bytes and returns all that comes back before the close. */
 function sendRaw(bytes: string, options: { end?: boolean } = {}) {
-  const { host, port } = splitAddress(live.callers[0]!);
+  const { host, port } = splitAddress(live.callerAddresses[0]!);
   return new Promise<string>((resolve) => {
     const socket = connect({ host, port });
     let received = "";
@@ -56,8 +56,8 @@
     const body = chat("A table for two by the window, please.");
     const expected = expectedAnswer(body, "demo");
     const streamed = await followAnswer({
-      entries: live.callers,
-      key: live.key,
+      entries: live.callerAddresses,
+      key: live.callerKey,
       body,
     });
     expect(streamed).toMatchObject({ status: 200, text: expected });
@@ -80,8 +80,8 @@
   test("gives an answer again from any entry, from any piece on", async () => {
     const body = chat("Fetch me again", 20);
     const { requestId, text } = await followAnswer({
-      entries: live.callers,
-      key: live.key,
+      entries: live.callerAddresses,
+      key: live.callerKey,
       body,
     });
     const path = `/v1/requests/${encodeURIComponent(requestId)}`;
@@ -103,10 +103,10 @@
 
   test("gives a running answer to nobody else, at its own entry too", async () => {
     const response = await request(
-      `http://${live.callers[0]}/v1/chat/completions`,
+      `http://${live.callerAddresses[0]}/v1/chat/completions`,
       {
         method: "POST",
-        headers: { authorization: `Bearer ${live.key}` },
+        headers: { authorization: `Bearer ${live.callerKey}` },
         body: JSON.stringify({
           ...chat("For my eyes only", 400),
           stream: true,
@@ -143,11 +143,11 @@
       body: "{}",
     });
     expect(announced.status).toBe(401);
-    expect((await live.standIn("booking-1")).runs).toHaveLength(0);
+    expect((await live.callStandIn("booking-1")).runs).toHaveLength(0);
   });
 
   test("answers malformed, oversized, slow and half-closed requests", async () => {
-    const key = `authorization: Bearer ${live.key}`;
+    const key = `authorization: Bearer ${live.callerKey}`;
     const head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n" + key;
     const oversized = await sendRaw(
       `${head}\r\ncontent-length: 999999\r\nconnection: close\r\n\r\n{`,
@@ -206,34 +206,37 @@
 describe("a call that may not run twice", () => {
   test("runs once for all resends to all entries at once", async () => {
     const replies = await Promise.all(
-      Array.from({ length: 30 }, (_, n) => live.book(n % 3, "party-of-seven")),
+      Array.from(
+        { length: 30 },
+        (_, n) => live.bookTable(n % 3, "party-of-seven"),
+      ),
     );
     const bodies = new Set(replies.map((reply) => reply.body));
     expect(replies.map((reply) => reply.status)).toEqual(
       replies.map(() => 200),
     );
     expect(bodies.size).toBe(1);
-    const { runs } = await live.standIn("booking-1");
+    const { runs } = await live.callStandIn("booking-1");
     expect(runs.filter((run) => run.key === "party-of-seven")).toHaveLength(1);
   });
 
   test("is a conflict with another body, and not run", async () => {
-    await live.book(0, "window-table", '{"party":2}');
-    const reply = await live.book(1, "window-table", '{"party":9}');
+    await live.bookTable(0, "window-table", '{"party":2}');
+    const reply = await live.bookTable(1, "window-table", '{"party":9}');
     expect(reply.status).toBe(409);
     expect(JSON.parse(reply.body).error.run).toBe("not-run");
-    const { runs } = await live.standIn("booking-1");
+    const { runs } = await live.callStandIn("booking-1");
     expect(runs.filter((run) => run.key === "window-table")).toHaveLength(1);
   });
 
   test.each(["fail", "cut", "truncate", "refuse"])(
     "runs at most once when the service's answer is %s",
     async (behaviour) => {
-      await live.standIn("booking-1", { behaviour });
-      const first = await live.book(0, `key-${behaviour}`);
-      await live.standIn("booking-1", { behaviour: "normal" });
-      const again = await live.book(1, `key-${behaviour}`);
-      const { runs } = await live.standIn("booking-1");
+      await live.callStandIn("booking-1", { behaviour });
+      const first = await live.bookTable(0, `key-${behaviour}`);
+      await live.callStandIn("booking-1", { behaviour: "normal" });
+      const again = await live.bookTable(1, `key-${behaviour}`);
+      const { runs } = await live.callStandIn("booking-1");
       const count = runs.filter((run) => run.key === `key-${behaviour}`).length;
       const refusedCleanly = behaviour === "refuse";
       // The service itself said not run, so the resend may run it, once.
--- a/apps/heroncleatd/tests/claims_test.ts
+++ b/apps/heroncleatd/tests/claims_test.ts
@@ -21,7 +21,7 @@
 async function runsByKey(): Promise<Map<string, number>> {
   const counts = new Map<string, number>();
   for (const name of ["booking-1", "booking-2"]) {
-    for (const { key } of (await live.standIn(name)).runs) {
+    for (const { key } of (await live.callStandIn(name)).runs) {
       counts.set(key, (counts.get(key) ?? 0) + 1);
     }
   }
@@ -58,7 +58,7 @@
     for (const place of [0, 1, 2]) {
       calls.push((async () => {
         await sleep(n * 15);
-        const reply = await live.book(place, key).catch(() => undefined);
+        const reply = await live.bookTable(place, key).catch(() => undefined);
         const run = String(reply?.headers["heroncleat-run"] ?? "unknown");
         replies.push({ status: reply?.status ?? 0, run });
       })());
@@ -70,8 +70,8 @@
 
 describe("keys sent to three entries at once", () => {
   test("run once over the death of the control leader", async () => {
-    await live.allServing();
-    const leader = await live.leader();
+    await live.waitUntilServing();
+    const leader = await live.findLeader();
     const answers = await bookAll("leader", {
       keys: 60,
       disturb: async () => live.processes.signal(leader, "SIGKILL"),
@@ -85,7 +85,7 @@
   });
 
   test("run once over the death of an entry, and say what is known", async () => {
-    await live.allServing();
+    await live.waitUntilServing();
     const answers = await bookAll("entry", {
       keys: 60,
       disturb: async () => live.processes.signal("entry-3", "SIGKILL"),
@@ -95,8 +95,8 @@
   });
 
   test("keep their outcome over snapshots and restarts of all replicas", async () => {
-    await live.allServing();
-    const first = await live.book(0, "kept-outcome", '{"party":3}');
+    await live.waitUntilServing();
+    const first = await live.bookTable(0, "kept-outcome", '{"party":3}');
     expect(first.status).toBe(200);
     await bookAll("filler", { keys: 40, disturb: async () => {} });
     for (const { name } of live.deployment.controls) {
@@ -109,7 +109,7 @@
     const again = await waitFor("The kept outcome", {
       timeout: 20_000,
       check: async () => {
-        const reply = await live.book(1, "kept-outcome", '{"party":3}');
+        const reply = await live.bookTable(1, "kept-outcome", '{"party":3}');
         return reply.status === 200 ? reply : undefined;
       },
     });
@@ -118,11 +118,11 @@
   });
 
   test("are unknown, not run again, when their entry dies after sending", async () => {
-    await live.allServing();
+    await live.waitUntilServing();
     for (const name of ["booking-1", "booking-2"]) {
-      await live.standIn(name, { behaviour: "stall" });
+      await live.callStandIn(name, { behaviour: "stall" });
     }
-    const lost = live.book(1, "stalled").catch(() => undefined);
+    const lost = live.bookTable(1, "stalled").catch(() => undefined);
     await waitFor("The run", {
       timeout: 5000,
       check: async () => (await runsByKey()).get("stalled"),
@@ -130,14 +130,14 @@
     live.processes.signal("entry-2", "SIGKILL");
     await lost;
     for (const name of ["booking-1", "booking-2"]) {
-      await live.standIn(name, { behaviour: "normal" });
+      await live.callStandIn(name, { behaviour: "normal" });
     }
     // A refusal before the ledger is asked says only that this sending was
     // not run; the ledger's word must be that the outcome is unknown.
     const again = await waitFor("The ledger's word", {
       timeout: 10_000,
       check: async () => {
-        const reply = await live.book(0, "stalled");
+        const reply = await live.bookTable(0, "stalled");
         const isRefusal = reply.headers["heroncleat-run"] === "not-run";
         return isRefusal && reply.status >= 429 ? undefined : reply;
       },
@@ -167,19 +167,19 @@
           messages: [{ role: "user", content: `drain ${n}` }],
         }),
       });
-    await live.allServing();
-    await live.change([group("old", "draining")], "drain-the-old-place");
+    await live.waitUntilServing();
+    await live.applyEdits([group("old", "draining")], "drain-the-old-place");
     await sleep(2000);
-    const before = await live.standIn("engine-2");
+    const before = await live.callStandIn("engine-2");
     const replies = await Promise.all(
       Array.from({ length: 30 }, (_, n) => ask(n)),
     );
     expect(replies.map(({ status }) => status)).toEqual(
       replies.map(() => 200),
     );
-    const after = await live.standIn("engine-2");
+    const after = await live.callStandIn("engine-2");
     expect(after.counts["requests"]).toBe(before.counts["requests"]);
-    await live.change([group("old", "serving")], "fill-the-old-place");
+    await live.applyEdits([group("old", "serving")], "fill-the-old-place");
   });
 
   test("order upstreams through the outbox, over a leader's death", async () => {
@@ -188,14 +188,14 @@
       upstream,
       order: { action: "load_model", value },
     });
-    await live.allServing();
-    const leader = await live.leader();
-    await live.change(
+    await live.waitUntilServing();
+    const leader = await live.findLeader();
+    await live.applyEdits(
       [order("engine-1", "menu"), order("engine-2", "menu")],
       "order-menu-adapter",
     );
     live.processes.signal(leader, "SIGKILL");
-    await live.change([order("engine-2", "wine")], "order-wine-adapter");
+    await live.applyEdits([order("engine-2", "wine")], "order-wine-adapter");
     await waitFor("Both models at both kinds of upstream", {
       timeout: 15_000,
       check: async () => {
@@ -204,7 +204,9 @@
       },
     });
     for (const name of ["engine-1", "engine-2"]) {
-      const numbers = (await live.standIn(name)).orders.map((o) => o.fencing);
+      const numbers = (await live.callStandIn(name)).orders.map((o) =>
+        o.fencing
+      );
       expect(numbers).toEqual([...numbers].sort((a, b) => a - b));
       expect(numbers.length).toBeGreaterThan(0);
     }
@@ -216,7 +218,9 @@
       timeout: 10_000,
       check: async () => {
         const views = await Promise.all(
-          [0, 1, 2].map((place) => live.operate(place, "configuration")),
+          [0, 1, 2].map((place) =>
+            live.callOperatorApi(place, "configuration")
+          ),
         );
         return views.every(({ status }) => status === 200) || undefined;
       },
@@ -235,7 +239,7 @@
     expect((await slow).status).toBe(200);
     expect(await live.processes.exitOf("entry-1")).toBe(0);
     expect(await live.processes.exitOf("control-1")).toBe(0);
-    const reply = await live.book(1, "after-two-stops");
+    const reply = await live.bookTable(1, "after-two-stops");
     expect(reply.status).toBe(200);
   });
 
--- a/apps/heroncleatd/tests/control_test.ts
+++ b/apps/heroncleatd/tests/control_test.ts
@@ -68,7 +68,7 @@
 
 /** Revisions in force at all entries. */
 async function revisions(place: number): Promise<number[]> {
-  const { value } = await live.operate(place, "status");
+  const { value } = await live.callOperatorApi(place, "status");
   const found = value["entries"] as { revision: number; state: string }[];
   return found.filter(({ state }) => state === "alive").map(({ revision }) =>
     revision
@@ -97,10 +97,10 @@
 
 describe("the control group", () => {
   test("gives racing operators one winner and one clear conflict", async () => {
-    const { revision } = await live.readView();
+    const { revision } = await live.readConfiguration();
     const replies = await Promise.all(
       [0, 1, 2].map((place) =>
-        live.operate(place, "changes", {
+        live.callOperatorApi(place, "changes", {
           id: nextId(),
           expectedRevision: revision,
           edits: [groupEdit(10 + place)],
@@ -111,20 +111,20 @@
   });
 
   test("gives a resent change its first result, at another replica", async () => {
-    const { revision } = await live.readView();
+    const { revision } = await live.readConfiguration();
     const change = {
       id: nextId(),
       expectedRevision: revision,
       edits: [groupEdit(33)],
     };
-    const first = await live.operate(0, "changes", change);
-    const again = await live.operate(1, "changes", change);
+    const first = await live.callOperatorApi(0, "changes", change);
+    const again = await live.callOperatorApi(1, "changes", change);
     expect(again.value).toEqual(first.value);
-    expect((await live.readView(2)).revision).toBe(revision + 1);
+    expect((await live.readConfiguration(2)).revision).toBe(revision + 1);
   });
 
   test("commits again soon after its leader's death", async () => {
-    const leader = await live.leader();
+    const leader = await live.findLeader();
     live.processes.signal(leader, "SIGKILL");
     const startedAt = Date.now();
     const others = controls.filter(({ name }) => name !== leader);
@@ -132,8 +132,8 @@
     const { value } = await waitFor("The next commit", {
       timeout: 10_000,
       check: async () => {
-        const view = await live.readView(place);
-        const reply = await live.operate(place, "changes", {
+        const view = await live.readConfiguration(place);
+        const reply = await live.callOperatorApi(place, "changes", {
           id: nextId(),
           expectedRevision: view.revision,
           edits: [groupEdit(50)],
@@ -148,17 +148,20 @@
   });
 
   test("puts changes in force everywhere with one replica isolated", async () => {
-    const leader = await live.leader();
+    const leader = await live.findLeader();
     isolate(leader);
     const place = placeOf(controls.find(({ name }) => name !== leader)!.name);
     const before = await waitFor("A view from the others", {
       timeout: 5000,
       check: async () => {
-        const { status, value } = await live.operate(place, "configuration");
+        const { status, value } = await live.callOperatorApi(
+          place,
+          "configuration",
+        );
         return status === 200 ? value["revision"] as number : undefined;
       },
     });
-    const reply = await live.operate(place, "changes", {
+    const reply = await live.callOperatorApi(place, "changes", {
       id: nextId(),
       expectedRevision: before,
       edits: [groupEdit(60)],
@@ -166,13 +169,13 @@
     expect(reply.status).toBe(200);
     expect(await inForceAt(place, before + 1)).toBeLessThan(4000);
     // The isolated leader neither accepts nor answers from its old state.
-    const stale = await live.operate(placeOf(leader), "configuration");
+    const stale = await live.callOperatorApi(placeOf(leader), "configuration");
     expect(stale.status).toBe(503);
     heal();
     await waitFor("The isolated replica to follow", {
       timeout: 10_000,
       check: async () => {
-        const { status, value } = await live.operate(
+        const { status, value } = await live.callOperatorApi(
           placeOf(leader),
           "configuration",
         );
@@ -192,28 +195,28 @@
         return reply.status === 503 || undefined;
       },
     });
-    const { runs } = await live.standIn("booking-1");
+    const { runs } = await live.callStandIn("booking-1");
     const before = runs.length;
-    const refused = await live.book(1, "cut-off");
+    const refused = await live.bookTable(1, "cut-off");
     expect(refused.status).toBe(503);
     expect(refused.headers["heroncleat-run"]).toBe("not-run");
-    expect((await live.standIn("booking-1")).runs).toHaveLength(before);
+    expect((await live.callStandIn("booking-1")).runs).toHaveLength(before);
     heal();
     await waitFor("The lease to return", {
       timeout: 10_000,
       check: async () =>
-        (await live.book(1, "cut-off")).status === 200 || undefined,
+        (await live.bookTable(1, "cut-off")).status === 200 || undefined,
     });
   });
 
   test("brings back a replica that missed 500 changes", async () => {
-    const leader = await live.leader();
+    const leader = await live.findLeader();
     const late = controls.find(({ name }) => name !== leader)!;
     live.processes.signal(late.name, "SIGKILL");
     const place = placeOf(leader);
-    let { revision } = await live.readView(place);
+    let { revision } = await live.readConfiguration(place);
     for (let count = 0; count < 500; count += 1) {
-      const reply = await live.operate(place, "changes", {
+      const reply = await live.callOperatorApi(place, "changes", {
         id: nextId(),
         expectedRevision: revision,
         edits: [groupEdit(count % 100)],
@@ -226,7 +229,7 @@
     await waitFor("The late replica to serve", {
       timeout: 10_000,
       check: async () => {
-        const { status, value } = await live.operate(
+        const { status, value } = await live.callOperatorApi(
           placeOf(late.name),
           "configuration",
         );
@@ -237,7 +240,7 @@
   });
 
   test("takes back a replica with a lost disk, and survives a second loss", async () => {
-    const leader = await live.leader();
+    const leader = await live.findLeader();
     const [lost, other] = controls.filter(({ name }) => name !== leader);
     live.processes.signal(lost!.name, "SIGKILL");
     await live.processes.exitOf(lost!.name);
@@ -246,7 +249,7 @@
     await waitFor("The lost replica to vote again", {
       timeout: 20_000,
       check: async () => {
-        const { value } = await live.operate(placeOf(leader), "status");
+        const { value } = await live.callOperatorApi(placeOf(leader), "status");
         const replicas = value["replicas"] as {
           name: string;
           id: string;
@@ -262,12 +265,12 @@
       },
     });
     live.processes.signal(other!.name, "SIGKILL");
-    await live.change([groupEdit(77)], nextId());
+    await live.applyEdits([groupEdit(77)], nextId());
     live.restart(other!.name);
   });
 
   test("refuses to start on a journal that is damaged in the middle", async () => {
-    const leader = await live.leader();
+    const leader = await live.findLeader();
     const victim = controls.find(({ name }) => name !== leader)!;
     live.processes.signal(victim.name, "SIGKILL");
     await live.processes.exitOf(victim.name);
@@ -292,7 +295,8 @@
     await waitFor("The replica with an empty folder to follow", {
       timeout: 20_000,
       check: async () =>
-        (await live.operate(placeOf(victim.name), "configuration")).status ===
+        (await live.callOperatorApi(placeOf(victim.name), "configuration"))
+            .status ===
           200 || undefined,
     });
   });
--- a/apps/heroncleatd/tests/crash_test.ts
+++ b/apps/heroncleatd/tests/crash_test.ts
@@ -43,7 +43,7 @@
 
 beforeAll(async () => {
   await live.start();
-  await live.allServing();
+  await live.waitUntilServing();
   for (const { name } of live.deployment.upstreams) {
     keepers.push(keepUp(name));
   }
@@ -82,7 +82,7 @@
     : `${CRASHING} by ${method}`;
   const statuses: number[] = [];
   for (let call = 0; call < REPEATS; call += 1) {
-    const answer = await live.call(call % live.callers.length, path, {
+    const answer = await live.call(call % live.callerAddresses.length, path, {
       method,
       headers: {
         "content-type": "application/json",
--- a/apps/heroncleatd/tests/live_deployment.ts
+++ b/apps/heroncleatd/tests/live_deployment.ts
@@ -61,26 +61,26 @@
     });
   }
 
-  get callers(): string[] {
+  get callerAddresses(): string[] {
     return this.deployment.entries.map((entry) => entry.callerAddress);
   }
 
-  get key(): string {
+  get callerKey(): string {
     return Object.values(this.deployment.callerKeys)[0]!;
   }
 
   /** Waits until every replica and every entry serves. */
-  async allServing(): Promise<void> {
+  async waitUntilServing(): Promise<void> {
     await waitFor("All replicas and entries", {
       timeout: 20_000,
       check: async () => {
         const views = await Promise.all(
           [...this.deployment.controls.keys()].map((place) =>
-            this.operate(place, "configuration")
+            this.callOperatorApi(place, "configuration")
           ),
         );
         const healths = await Promise.all(
-          [...this.callers.keys()].map((place) =>
+          [...this.callerAddresses.keys()].map((place) =>
             this.call(place, "/v1/health")
           ),
         );
@@ -101,18 +101,24 @@
       timeout?: number;
     } = {},
   ): Promise<Answer> {
-    const response = await request(`http://${this.callers[place]}${path}`, {
-      method: (options.method ?? "GET") as "GET",
-      headers: { authorization: `Bearer ${this.key}`, ...options.headers },
-      body: options.body ?? null,
-      signal: AbortSignal.timeout(options.timeout ?? 20_000),
-    });
+    const response = await request(
+      `http://${this.callerAddresses[place]}${path}`,
+      {
+        method: (options.method ?? "GET") as "GET",
+        headers: {
+          authorization: `Bearer ${this.callerKey}`,
+          ...options.headers,
+        },
+        body: options.body ?? null,
+        signal: AbortSignal.timeout(options.timeout ?? 20_000),
+      },
+    );
     const body = await response.body.text();
     return { status: response.statusCode, headers: response.headers, body };
   }
 
   /** Books a table: a call that may not run twice. */
-  book(place: number, key: string, body = "{}"): Promise<Answer> {
+  bookTable(place: number, key: string, body = "{}"): Promise<Answer> {
     return this.call(place, "/services/booking/confirm", {
       method: "POST",
       headers: { "idempotency-key": key, "heroncleat-deadline": "6000" },
@@ -121,7 +127,7 @@
   }
 
   /** Asks the operator API of one replica. */
-  async operate(
+  async callOperatorApi(
     place: number,
     path: string,
     body?: unknown,
@@ -143,13 +149,13 @@
     return { status: response.statusCode, value };
   }
 
-  async readView(place = 0): Promise<ConfigurationView> {
-    const { value } = await this.operate(place, "configuration");
+  async readConfiguration(place = 0): Promise<ConfigurationView> {
+    const { value } = await this.callOperatorApi(place, "configuration");
     return value as unknown as ConfigurationView;
   }
 
   /** Changes the configuration at its present revision, until it is taken. */
-  async change(edits: Edit[], id: string): Promise<number> {
+  async applyEdits(edits: Edit[], id: string): Promise<number> {
     return await waitFor("A change", {
       timeout: 10_000,
       check: async () => {
@@ -169,8 +175,8 @@
     place: number,
     options: { edits: Edit[]; id: string },
   ): Promise<number | undefined> {
-    const { revision } = await this.readView(place);
-    const reply = await this.operate(place, "changes", {
+    const { revision } = await this.readConfiguration(place);
+    const reply = await this.callOperatorApi(place, "changes", {
       ...options,
       expectedRevision: revision,
     });
@@ -178,7 +184,7 @@
   }
 
   /** Steers or questions a stand-in upstream. */
-  async standIn(
+  async callStandIn(
     name: string,
     order?: Record<string, unknown>,
   ): Promise<{
@@ -197,12 +203,12 @@
   }
 
   /** Name of the replica that leads. */
-  async leader(): Promise<string> {
+  async findLeader(): Promise<string> {
     return await waitFor("A leader", {
       timeout: 10_000,
       check: async () => {
         for (const place of this.deployment.controls.keys()) {
-          const reply = await this.operate(place, "status")
+          const reply = await this.callOperatorApi(place, "status")
             .catch(() => undefined);
           const replicas = (reply?.value["replicas"] ?? []) as {
             name: string;
--- a/apps/heroncleatd/tests/loss_test.ts
+++ b/apps/heroncleatd/tests/loss_test.ts
@@ -42,8 +42,8 @@
     let onAccepted = () => {};
     const isAccepted = new Promise<void>((resolve) => onAccepted = resolve);
     const answer = followAnswer({
-      entries: rotate(live.callers, n),
-      key: live.key,
+      entries: rotate(live.callerAddresses, n),
+      key: live.callerKey,
       body: {
         model: "assistant",
         max_tokens: TOKENS,
@@ -95,12 +95,12 @@
   test("survive an announced reclaim with 2 s of notice", async () => {
     const { answers: streams } = startStreams(40);
     await sleep(400);
-    const before = await live.standIn("engine-2");
-    await live.standIn("engine-2", { leaveIn: 2000 });
+    const before = await live.callStandIn("engine-2");
+    await live.callStandIn("engine-2", { leaveIn: 2000 });
     await sleep(300);
-    const reported = await live.standIn("engine-2");
+    const reported = await live.callStandIn("engine-2");
     await sleep(1700);
-    const last = await live.standIn("engine-2");
+    const last = await live.callStandIn("engine-2");
     live.processes.signal("engine-2", "SIGKILL");
     await expectWhole(await Promise.all(streams));
     expect(before.counts["requests"]).toBeGreaterThan(0);
@@ -151,10 +151,10 @@
       timeout: 2000,
       check: async () => {
         const { body } = await live.call(1, "/v1/entries");
-        return body.includes(live.callers[0]!) ? undefined : body;
+        return body.includes(live.callerAddresses[0]!) ? undefined : body;
       },
     });
-    expect(listed).not.toContain(live.callers[0]);
+    expect(listed).not.toContain(live.callerAddresses[0]);
     const answers = await Promise.all(streams);
     await expectWhole(answers);
     expect(answers.map((answer) => answer.reconnects)).toEqual(
--- a/apps/heroncleatd/tests/restart_test.ts
+++ b/apps/heroncleatd/tests/restart_test.ts
@@ -31,8 +31,8 @@
         },
       });
       const answer = await followAnswer({
-        entries: [live.callers[1]!],
-        key: live.key,
+        entries: [live.callerAddresses[1]!],
+        key: live.callerKey,
         body: {
           model: "assistant",
           max_tokens: 2,
--- a/apps/heroncleatd/tests/wave_test.ts
+++ b/apps/heroncleatd/tests/wave_test.ts
@@ -36,7 +36,7 @@
     const zone = waves % 4 + 1;
     const names = [`engine-${zone}`, `engine-${zone + 4}`];
     await Promise.all(
-      names.map((name) => live.standIn(name, { leaveIn: NOTICE })),
+      names.map((name) => live.callStandIn(name, { leaveIn: NOTICE })),
     );
     await sleep(NOTICE);
     for (const name of names) {
@@ -65,8 +65,11 @@
         next += 1;
         answers.push(
           await followAnswer({
-            entries: [live.callers[n % 4]!, live.callers[(n + 1) % 4]!],
-            key: live.key,
+            entries: [
+              live.callerAddresses[n % 4]!,
+              live.callerAddresses[(n + 1) % 4]!,
+            ],
+            key: live.callerKey,
             body: {
               model: "assistant",
               max_tokens: TOKENS,
