--- a/apps/heroncleatd/entry/admission_result.ts
+++ b/apps/heroncleatd/entry/admission_result.ts
@@ -1,6 +1,6 @@
 import type { Fault } from "@heroncleat/base";
 
-/** Whether a request may run now. */
+/** Result of admission control for one request. */
 export type AdmissionResult =
   | { readonly kind: "admitted" }
   | { readonly kind: "refused"; readonly fault: Fault };
--- a/apps/heroncleatd/entry/admit.ts
+++ b/apps/heroncleatd/entry/admit.ts
@@ -5,7 +5,10 @@
 import type { AdmissionResult } from "./admission_result.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 
-/** Asks whether a request may run, and waits in the queue if it must. */
+/**
+ * Resolves when admission control admits or refuses the request, possibly after
+ * queueing.
+ */
 export function admit(
   dispatch: Actor<DispatchMessage>,
   options: {
@@ -24,7 +27,7 @@
         kind: "refused",
         fault: createFault(
           "overloaded",
-          "This entry is overloaded. Remedy: come back after Retry-After.",
+          "This entry is overloaded. Remedy: retry after the time in Retry-After.",
           { retryAfter: 1000 },
         ),
       });
--- a/apps/heroncleatd/entry/build_upstream_body.ts
+++ b/apps/heroncleatd/entry/build_upstream_body.ts
@@ -1,6 +1,6 @@
 import type { Priority, RequestRecord, TextPiece } from "@heroncleat/schema";
 
-/** Rank of each priority in the engine's own scheduling; lower goes first. */
+/** Priorities as the engine's scheduler ranks them; lower runs first. */
 const PRIORITY_RANK: Readonly<Record<Priority, number>> = {
   icebreaker: 0,
   guest: 1,
@@ -8,7 +8,9 @@
   draft: 3,
 };
 
-/** The fields of a caller's body that resuming changes. */
+/**
+ * The fields of a caller's body that are rewritten when a generation resumes.
+ */
 type CallerBody = {
   readonly prompt?: string;
   readonly messages?: readonly unknown[];
@@ -16,8 +18,9 @@
 };
 
 /**
- * The body sent to a model engine: the caller's own, streamed, continued
- * behind the pieces that exist already (vLLM's `continue_final_message`).
+ * Builds the request body for a model engine: the caller's body with streaming
+ * enabled, continued after the chunks that were already generated (vLLM's
+ * `continue_final_message`).
  */
 export function buildUpstreamBody(
   record: RequestRecord,
--- a/apps/heroncleatd/entry/caller_request.ts
+++ b/apps/heroncleatd/entry/caller_request.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 
-/** A request of a caller with its key checked. */
+/** A request from an authenticated caller. */
 export type CallerRequest = {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
--- a/apps/heroncleatd/entry/caller_server.ts
+++ b/apps/heroncleatd/entry/caller_server.ts
@@ -24,7 +24,7 @@
 const MAX_HEADER_BYTES = 16 * 1024;
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
-/** Serves callers and upstreams over HTTP. */
+/** HTTP server for callers and for announcements of upstreams. */
 export class CallerServer {
   readonly #parts: EntryParts;
   readonly #server: Server;
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Refuses new connections and ends idle ones; the others run on. */
+  /** Stops accepting connections and closes idle ones; active ones continue. */
   stopListening(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
@@ -158,7 +158,7 @@
       response,
       createFault(
         "leaving",
-        "This entry is stopping. Remedy: send the request to another entry.",
+        "This entry is shutting down. Remedy: send the request to another entry.",
         { retryAfter: 0 },
       ),
       { entries: listOtherEntries(this.#parts) },
@@ -178,7 +178,7 @@
   }
 
   #onError(response: ServerResponse, error: Error): void {
-    this.#parts.context.log("callers").error("A request failed", {
+    this.#parts.context.log("callers").error("Request handler failed", {
       error: String(error.stack),
     });
     sendFault(
@@ -194,10 +194,10 @@
   return key === ""
     ? createFault(
       "unauthorized",
-      "There is no key. Remedy: send Authorization: Bearer KEY.",
+      "The request has no key. Remedy: send Authorization: Bearer KEY.",
     )
     : createFault(
       "forbidden",
-      "The key is not known. Remedy: use one from caller_keys_file.",
+      "The key is unknown. Remedy: use one from caller_keys_file.",
     );
 }
--- a/apps/heroncleatd/entry/claim_client.ts
+++ b/apps/heroncleatd/entry/claim_client.ts
@@ -8,7 +8,7 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { ControlClient } from "../common/control_client.ts";
 
-/** What became of a proposal at the control group. */
+/** Reply of a control replica to a proposed command. */
 type ProposalReply<Result> =
   | { readonly kind: "done"; readonly result: Result }
   | { readonly kind: "not_leader"; readonly leader: string }
@@ -21,7 +21,7 @@
 const RESOLVE_TIMEOUT_MS = 3000;
 const FIND_TIMEOUT_MS = 2000;
 
-/** Asks the ledger about claims of non-idempotent requests. */
+/** Client for the ledger's claims of non-idempotent requests. */
 export class ClaimClient {
   readonly #control: ControlClient;
 
@@ -29,7 +29,7 @@
     this.#control = control;
   }
 
-  /** Claims a key; nothing when no quorum answered in time. */
+  /** Claims a key. Returns `undefined` if no quorum replied in time. */
   async claim(
     command: ClaimCommand,
     timeout: Milliseconds,
@@ -41,7 +41,7 @@
     return reply.kind === "done" ? reply.result : undefined;
   }
 
-  /** Stores what became of a claim; false when it can't be stored now. */
+  /** Stores the result of a claim. Returns whether it was committed. */
   async resolve(
     claim: Pick<Claim, "workspace" | "key" | "attempt">,
     result: { state: ClaimState; outcome?: Outcome },
@@ -65,7 +65,10 @@
     return reply.kind === "done";
   }
 
-  /** Reads a claim through a quorum; nothing when none answered. */
+  /**
+   * Reads a claim through a quorum. Returns `undefined` if it is missing or no
+   * quorum replied.
+   */
   async find(workspace: string, key: string): Promise<Claim | undefined> {
     const reply = await this.#control.call<FindReply>("control.find_claim", {
       parameters: { workspace, key },
--- a/apps/heroncleatd/entry/configuration_lease.ts
+++ b/apps/heroncleatd/entry/configuration_lease.ts
@@ -1,8 +1,8 @@
 import type { Clock, Milliseconds } from "@heroncleat/base";
 
 /**
- * The time until which this entry may act on its configuration. It is read at
- * the last step before work is taken on or sent out.
+ * Lease that permits this entry to act on its configuration. It is checked
+ * right before a request is admitted or sent to an upstream.
  */
 export class ConfigurationLease {
   readonly #clock: Clock;
@@ -16,7 +16,7 @@
     return this.#clock.now() < this.#validUntil;
   }
 
-  /** Extends the lease from the moment the confirmed read was asked for. */
+  /** Extends the lease, counted from when the quorum read was requested. */
   extend(requestedAt: Milliseconds, duration: Milliseconds): void {
     this.#validUntil = Math.max(this.#validUntil, requestedAt + duration);
   }
--- a/apps/heroncleatd/entry/configuration_renewer.ts
+++ b/apps/heroncleatd/entry/configuration_renewer.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationView, RevisionEdits } from "@heroncleat/schema";
 import type { EntryContext } from "./entry_context.ts";
 
-/** Answer of a replica to a renewal. */
+/** Reply of a control replica to a renewal. */
 type RenewalReply =
   | {
     readonly kind: "renewed";
@@ -14,8 +14,8 @@
   | { readonly kind: "not_leader"; readonly leader: string };
 
 /**
- * Reads the configuration through a quorum again and again, which also renews
- * this entry's lease on it.
+ * Periodically reads the configuration through a quorum, which also renews this
+ * entry's configuration lease.
  */
 export class ConfigurationRenewer {
   readonly #context: EntryContext;
@@ -72,7 +72,7 @@
     }
     if (hasChanged) {
       this.#context.log("configuration").info(
-        `Revision ${this.#follower.view.revision} is in force`,
+        `Configuration revision ${this.#follower.view.revision} is active`,
       );
     }
   }
@@ -80,10 +80,12 @@
   #recordOutcome(isRenewed: boolean): void {
     const log = this.#context.log("configuration");
     if (!isRenewed && !this.#isFailing) {
-      log.warn("The lease can't be renewed; new work will be refused");
+      log.warn(
+        "The configuration lease can't be renewed; new requests will be refused",
+      );
     }
     if (isRenewed && this.#isFailing) {
-      log.info("The lease is renewed again");
+      log.info("The configuration lease is renewed again");
     }
     this.#isFailing = !isRenewed;
     this.#context.metrics.increment(
--- a/apps/heroncleatd/entry/connect_errors.ts
+++ b/apps/heroncleatd/entry/connect_errors.ts
@@ -1,4 +1,4 @@
-/** Errors that come before a connection exists, so that nothing was sent. */
+/** Codes of errors raised before a connection exists, so nothing was sent. */
 export const CONNECT_ERRORS: readonly string[] = [
   "ECONNREFUSED",
   "EHOSTUNREACH",
--- a/apps/heroncleatd/entry/copy_sender.ts
+++ b/apps/heroncleatd/entry/copy_sender.ts
@@ -2,24 +2,22 @@
 import type { CopyMessage, CopyReply } from "@heroncleat/schema";
 import type { PeerPool } from "@heroncleat/transport";
 
-/** A copy that waits to be sent. */
 type QueuedCopy = {
   readonly message: CopyMessage;
   readonly resolve: (reply: CopyReply) => void;
   readonly reject: (error: unknown) => void;
 };
 
-/** What is under way to one entry. */
+/** Queued copies and the number of calls in flight for one entry. */
 type Outbox = { queue: QueuedCopy[]; inFlight: number };
 
-/** Calls to one entry that may be under way at once. */
+/** Limit per destination entry. */
 const MAX_IN_FLIGHT_CALLS = 4;
 const MAX_COPIES_PER_CALL = 256;
 
 /**
- * Sends the copies of all requests to their standbys. Copies that are ready
- * while calls are under way leave together, so the cost of a call is shared
- * when there are many.
+ * Sends copies of requests to their standbys. Copies that queue up while calls
+ * are in flight are batched into one call, which saves round trips under load.
  */
 export class CopySender {
   readonly #pool: PeerPool;
--- a/apps/heroncleatd/entry/create_chain_hash.ts
+++ b/apps/heroncleatd/entry/create_chain_hash.ts
@@ -1,6 +1,6 @@
 import createXxhash from "xxhash-wasm";
 
-/** Loads the hash that chains the blocks of a prompt. */
+/** Loads xxhash and returns the hash function that chains prompt blocks. */
 export async function createChainHash(): Promise<
   (text: string, seed: string) => string
 > {
--- a/apps/heroncleatd/entry/dispatch_message.ts
+++ b/apps/heroncleatd/entry/dispatch_message.ts
@@ -36,7 +36,7 @@
     readonly kind: "route";
     readonly request: RoutedRequest;
     readonly token: string;
-    /** Whether an earlier attempt failed, so that the budget is charged. */
+    /** Whether an earlier attempt failed; retries consume the retry budget. */
     readonly isRetry: boolean;
     readonly reply: (answer: RouteResult) => void;
   }
--- a/apps/heroncleatd/entry/dispatch_service.ts
+++ b/apps/heroncleatd/entry/dispatch_service.ts
@@ -6,21 +6,20 @@
 import type { ServiceOutcome } from "./service_outcome.ts";
 import { findSuspectFault } from "./find_suspect_fault.ts";
 
-/** Attempts at one call, however quickly they fail. */
 const MAX_ATTEMPTS = 5;
 const HTTP_SERVER_ERROR = 500;
 
-/** What is known of the attempts so far. */
+/** State accumulated over the attempts at one call. */
 type AttemptHistory = {
   readonly exclude: string[];
-  /** Whether a byte of some attempt may have been acted on. */
+  /** Whether a service may have run any of the attempts. */
   mayHaveRun: boolean;
   lastFault: Fault;
 };
 
 /**
- * Sends a call to services until one answers. A call that may not be run
- * again is sent again only where the attempt before it can't have run.
+ * Sends a call to services until one responds. A non-idempotent call is retried
+ * only if the previous attempt can't have run.
  */
 export async function dispatchService(
   parts: EntryParts,
@@ -40,7 +39,7 @@
   return giveUp(attempts);
 }
 
-/** One attempt; nothing when another may follow. */
+/** Makes one attempt. Returns `undefined` if the call may be retried. */
 async function tryOnce(
   parts: EntryParts,
   call: ServiceCall,
@@ -62,7 +61,7 @@
   }
   const { upstream, address } = routing.choice;
   const remaining = call.deadlineAt - clock.now();
-  // The last step before bytes leave.
+  // Checked right before sending.
   if (!parts.context.lease.isValid || remaining <= 0) {
     parts.dispatch.send({ kind: "ended", upstream, token, outcome: "neutral" });
     attempts.lastFault = createNotSentFault(remaining);
@@ -146,8 +145,8 @@
 function createFailureFault(message: string): Fault {
   return createFault(
     "upstream_failed",
-    `The service did not answer (${message}). Remedy: come back after ` +
-      "Retry-After; for a call that may not be repeated, ask with the same " +
+    `The service call failed (${message}). Remedy: retry after the time ` +
+      "in Retry-After; for a call that may not be repeated, use the same " +
       "Idempotency-Key.",
     { retryAfter: 1000 },
   );
--- a/apps/heroncleatd/entry/dispatch_service_test.ts
+++ b/apps/heroncleatd/entry/dispatch_service_test.ts
@@ -9,7 +9,7 @@
 
 const RUNS = Number(process.env["FUZZ_RUNS"] ?? 1) * 700;
 
-/** What a service does with one call. */
+/** Behaviours of a service for one call. */
 const BEHAVIOURS = [
   "answer",
   "refuse",
@@ -24,20 +24,20 @@
 
 type Behaviour = typeof BEHAVIOURS[number];
 
-/** Which calls each attempt token was run for; the oracle. */
-const runs: string[] = [];
-let plan: Behaviour[] = [];
+/** Tokens of the attempts that services ran; the test's oracle. */
+const executedAttempts: string[] = [];
+let plannedBehaviours: Behaviour[] = [];
 const agent = new Agent({ connect: { timeout: 300 } });
 const servers: Server[] = [];
 
 beforeAll(async () => {
-  for (let place = 0; place < 3; place += 1) {
+  for (let index = 0; index < 3; index += 1) {
     const server = createServer((request, response) => {
       const attempt = String(request.headers["heroncleat-attempt"]);
-      const behaviour = plan[place]!;
+      const behaviour = plannedBehaviours[index]!;
       if (behaviour === "cut the body") {
-        // The first bytes came; whether they are acted on is unknown.
-        runs.push(attempt);
+        // Some bytes arrived, so the service may act on them.
+        executedAttempts.push(attempt);
         request.socket.destroy();
         return;
       }
@@ -47,16 +47,16 @@
           return;
         }
         if (behaviour === "refuse another attempt") {
-          runs.push(attempt);
+          executedAttempts.push(attempt);
           response.writeHead(503, { "heroncleat-not-run": "other" }).end();
           return;
         }
         if (behaviour === "fail") {
-          runs.push(attempt);
+          executedAttempts.push(attempt);
           response.writeHead(500).end();
           return;
         }
-        runs.push(attempt);
+        executedAttempts.push(attempt);
         if (behaviour === "cut before the answer") {
           response.destroy();
         } else if (behaviour === "cut the answer") {
@@ -82,25 +82,25 @@
   }
 });
 
-/** The parts of an entry that a call needs, with the services as upstreams. */
+/** Creates the entry parts that a call uses, with the services as upstreams. */
 function createParts(): EntryParts {
   const send = (message: Record<string, unknown>) => {
     if (message["kind"] !== "route") {
       return true;
     }
     const { exclude } = message["request"] as { exclude: string[] };
-    const place = [0, 1, 2].find((each) => !exclude.includes(`s${each}`));
+    const index = [0, 1, 2].find((each) => !exclude.includes(`s${each}`));
     const reply = message["reply"] as (answer: unknown) => void;
-    if (place === undefined) {
-      const fault = createFault("no_upstream", "None is left.");
+    if (index === undefined) {
+      const fault = createFault("no_upstream", "No upstream is left.");
       reply({ kind: "unroutable", fault });
       return true;
     }
-    const { port } = servers[place]!.address() as AddressInfo;
-    const address = plan[place] === "down"
+    const { port } = servers[index]!.address() as AddressInfo;
+    const address = plannedBehaviours[index] === "down"
       ? "127.0.0.1:1"
       : `127.0.0.1:${port}`;
-    reply({ kind: "chosen", choice: { upstream: `s${place}`, address } });
+    reply({ kind: "chosen", choice: { upstream: `s${index}`, address } });
     return true;
   };
   return {
@@ -108,7 +108,7 @@
       clock: { now: () => performance.now(), steady: () => 0 },
       instanceIdOf: (upstream: string) => upstream,
       isDepartingUpstream: () => false,
-      // The services of this test break off answers and stay.
+      // The services of this test break connections but don't crash.
       crashes: {
         decided: () => Promise.resolve(),
         standing: () => "unsuspected",
@@ -123,12 +123,12 @@
   } as unknown as EntryParts;
 }
 
-let calls = 0;
+let callCount = 0;
 function createCall(isIdempotent: boolean): ServiceCall {
-  calls += 1;
+  callCount += 1;
   return {
     routed: {
-      id: `c${calls}`,
+      id: `c${callCount}`,
       workspace: "bistro",
       model: "",
       service: "booking",
@@ -138,18 +138,18 @@
       promptTokens: 0,
       exclude: [],
     },
-    token: `call-${calls}`,
+    token: `call-${callCount}`,
     contentType: "text/plain",
     body: Buffer.from("four at seven"),
-    key: `key-${calls}`,
+    key: `key-${callCount}`,
     isIdempotent,
     deadlineAt: performance.now() + 40,
   };
 }
 
-describe("a call to services that fail in any way", () => {
-  test("is never said to be not run when it ran, nor run twice", async () => {
-    const seen = new Map<string, number>();
+describe("a call to failing services", () => {
+  test("is never reported as not run when it ran, and never runs twice", async () => {
+    const outcomeCounts = new Map<string, number>();
     const parts = createParts();
     await fc.assert(
       fc.asyncProperty(
@@ -159,31 +159,34 @@
         }),
         fc.boolean(),
         async (behaviours, isIdempotent) => {
-          plan = behaviours;
+          plannedBehaviours = behaviours;
           const call = createCall(isIdempotent);
           const outcome = await dispatchService(parts, call);
-          const own = runs.filter((attempt) =>
+          const ownAttempts = executedAttempts.filter((attempt) =>
             attempt.startsWith(`${call.token}#`)
           );
           if (outcome.kind === "not_run") {
-            expect(own).toEqual([]);
+            expect(ownAttempts).toEqual([]);
             expect(outcome.fault.run).toBe("not-run");
           }
           if (!isIdempotent) {
-            expect(own.length).toBeLessThanOrEqual(1);
+            expect(ownAttempts.length).toBeLessThanOrEqual(1);
           }
           if (outcome.kind === "answered" && outcome.outcome.status === 200) {
             expect(outcome.outcome.body).toBe(
               Buffer.from("done").toString("base64"),
             );
           }
-          seen.set(outcome.kind, (seen.get(outcome.kind) ?? 0) + 1);
+          outcomeCounts.set(
+            outcome.kind,
+            (outcomeCounts.get(outcome.kind) ?? 0) + 1,
+          );
         },
       ),
       { numRuns: RUNS, seed: 31 },
     );
     for (const kind of ["answered", "not_run", "unknown"]) {
-      expect(seen.get(kind)).toBeGreaterThan(20);
+      expect(outcomeCounts.get(kind)).toBeGreaterThan(20);
     }
   });
 });
--- a/apps/heroncleatd/entry/entry_context.ts
+++ b/apps/heroncleatd/entry/entry_context.ts
@@ -6,7 +6,7 @@
 import type { ProcessContext } from "../common/process_context.ts";
 import type { ConfigurationLease } from "./configuration_lease.ts";
 
-/** What all parts of the entry role share. */
+/** Shared state and services of the entry role. */
 export type EntryContext = ProcessContext & {
   readonly entry: EntrySettings;
   readonly name: string;
@@ -14,14 +14,14 @@
   readonly control: ControlClient;
   readonly lease: ConfigurationLease;
   readonly callers: KeyRing;
-  /** Requests under which upstreams ended. */
+  /** Tracks requests that crashed upstreams. */
   readonly crashes: CrashWatch;
-  /** The identity of the present start of an upstream, by its name. */
+  /** ID of an upstream's current instance, by the upstream's name. */
   readonly instanceIdOf: (upstream: string) => string;
-  /** Whether an upstream has said that it leaves, by its name. */
+  /** Whether an upstream announced its departure, by its name. */
   readonly isDepartingUpstream: (upstream: string) => boolean;
-  /** Hashes a block of a prompt behind the blocks before it. */
+  /** Hashes a prompt block, seeded with the hash of the preceding blocks. */
   readonly chainHash: (text: string, seed: string) => string;
-  /** Connections to upstreams; it never retries by itself. */
+  /** Connection pool for upstreams; it never retries. */
   readonly upstreams: Agent;
 };
--- a/apps/heroncleatd/entry/entry_parts.ts
+++ b/apps/heroncleatd/entry/entry_parts.ts
@@ -6,17 +6,18 @@
 import type { MembershipActorMessage } from "./membership_actor_message.ts";
 import type { RegistryMessage } from "./registry_message.ts";
 
-/** What the handlers of the callers' API work with. */
+/** Actors and services that the HTTP handlers use. */
 export type EntryParts = {
   readonly context: EntryContext;
   readonly membership: Actor<MembershipActorMessage>;
   readonly dispatch: Actor<DispatchMessage>;
   readonly registry: Actor<RegistryMessage>;
   readonly responses: ResponseReader;
-  /** The members as last received. */
   readonly members: () => readonly MemberRecord[];
-  /** Whether this entry has known of the upstreams that others know. */
+  /**
+   * Whether this entry has received the upstreams known to the other entries.
+   */
   readonly isSynchronized: () => boolean;
-  /** Whether this entry is stopping and takes no new requests. */
+  /** Whether this entry is shutting down and refuses new requests. */
   readonly isShuttingDown: () => boolean;
 };
--- a/apps/heroncleatd/entry/find_suspect_fault.ts
+++ b/apps/heroncleatd/entry/find_suspect_fault.ts
@@ -5,7 +5,10 @@
 
 const RETRY_AFTER_MS = 700;
 
-/** Why a request isn't sent on, or not now, where upstreams ended under it. */
+/**
+ * Returns the fault for a request that crashed upstreams and must not be sent
+ * now.
+ */
 export function findSuspectFault(
   crashes: CrashWatch,
   request: RequestIdentity,
@@ -14,16 +17,16 @@
   if (status === SuspectStatus.rejected) {
     return createFault(
       "bad_request",
-      "Several upstreams ended while they ran this very request, so it isn't " +
+      "Several upstreams crashed while running this request, so it isn't " +
         "sent to any more. Remedy: change the request, or send it again some " +
-        "time after the upstreams were mended.",
+        "time after the upstreams were repaired.",
     );
   }
   if (status === SuspectStatus.single && crashes.isUnderWay(request)) {
     return createFault(
       "overloaded",
-      "Upstreams ended while they ran this very request, and another copy of " +
-        "it is under way. Remedy: come back after Retry-After.",
+      "Upstreams crashed while running this request, and another copy of it " +
+        "is in flight. Remedy: retry after the time in Retry-After.",
       { retryAfter: RETRY_AFTER_MS },
     );
   }
--- a/apps/heroncleatd/entry/hand_over_sender.ts
+++ b/apps/heroncleatd/entry/hand_over_sender.ts
@@ -1,22 +1,20 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { PeerPool } from "@heroncleat/transport";
 
-/** What the sender is built from. */
 type HandOverOptions = {
   readonly pool: PeerPool;
   readonly timeout: Milliseconds;
   readonly addressOf: (entry: string) => string | undefined;
 };
 
-/** A request that waits to be handed over. */
 type PendingHandOver = {
   readonly id: string;
   readonly resolve: (owner: string | undefined) => void;
 };
 
 /**
- * Asks standbys to take requests over. Those that one entry holds are asked
- * for together, so that the ledger decides about them in one command.
+ * Asks standbys to take over requests. Requests with the same standby are
+ * batched into one call, so that the ledger decides about them in one command.
  */
 export class HandOverSender {
   readonly #options: HandOverOptions;
@@ -26,7 +24,7 @@
     this.#options = options;
   }
 
-  /** The new owner, or nothing when the standby did not take over. */
+  /** Returns the new owner, or `undefined` if the standby did not take over. */
   send(standby: string, id: string): Promise<string | undefined> {
     return new Promise((resolve) => {
       const pending = this.#pending.get(standby);
--- a/apps/heroncleatd/entry/handle_announcement.ts
+++ b/apps/heroncleatd/entry/handle_announcement.ts
@@ -12,7 +12,7 @@
 const MAX_BODY_BYTES = 64 * 1024;
 const CACHE_EVENTS_PATH = /^\/v1\/upstreams\/([^/]+)\/cache_events$/;
 
-/** Takes an upstream's announcement, or an event of its prefix cache. */
+/** Handles an upstream's announcement or an event of its prefix cache. */
 export async function handleAnnouncement(
   parts: EntryParts,
   request: IncomingMessage,
--- a/apps/heroncleatd/entry/handle_discovery.ts
+++ b/apps/heroncleatd/entry/handle_discovery.ts
@@ -7,8 +7,8 @@
 const MAX_ENTRIES = 12;
 
 /**
- * Reports a caller which entries to use and how long it may keep the answer.
- * It needs no key: an address alone gives nothing away.
+ * Returns the entries a caller may use and how long it may cache the list. It
+ * needs no key, since an address alone grants no access.
  */
 export function handleDiscovery(
   parts: EntryParts,
--- a/apps/heroncleatd/entry/handle_generation.ts
+++ b/apps/heroncleatd/entry/handle_generation.ts
@@ -28,10 +28,9 @@
 import { findSuspectFault } from "./find_suspect_fault.ts";
 
 const CHARACTERS_PER_TOKEN = 4;
-/** Standbys tried before a request is refused. */
 const MAX_STANDBY_ATTEMPTS = 3;
 
-/** Serves one chat or completion request. */
+/** Handles one chat or completion request. */
 export async function handleGeneration(
   parts: EntryParts,
   call: CallerRequest,
@@ -76,7 +75,10 @@
   });
 }
 
-/** Finds a second holder for the request and sends its answer. */
+/**
+ * Accepts the request with the first standby that stores a copy, then sends the
+ * response.
+ */
 async function acceptAndRespond(
   parts: EntryParts,
   call: CallerRequest,
@@ -112,7 +114,10 @@
   sendFault(call.response, fault, { entries: listOtherEntries(parts) });
 }
 
-/** The next standby to try; empty when the settings allow none. */
+/**
+ * Returns the next standby to try; an empty name if the settings allow running
+ * without one.
+ */
 function pickStandby(
   parts: EntryParts,
   tried: readonly string[],
@@ -131,7 +136,7 @@
   return isStandbyOptional ? "" : undefined;
 }
 
-/** Holds the request here and at its standby; a refusal ends nothing else. */
+/** Registers the request at this entry and its standby. */
 function registerRequest(
   parts: EntryParts,
   record: RequestRecord,
@@ -146,7 +151,7 @@
         isAccepted = outcome.kind === "accepted";
         resolve(outcome);
       },
-      // A refused request goes on to the next standby with its place kept.
+      // A refused request keeps its admission while the next standby is tried.
       onEnded: () => isAccepted && release(),
     });
   });
@@ -160,7 +165,7 @@
   return { ...draft, ...holders, id };
 }
 
-/** Reads and checks the request; its identifier and holders come later. */
+/** Reads and validates the request; its ID, owner and standby are set later. */
 async function readDraft(
   parts: EntryParts,
   call: CallerRequest,
@@ -177,7 +182,7 @@
   if (call.request.headers["heroncleat-idempotent"] === "false") {
     return Result.err(createFault(
       "bad_request",
-      "A generation may always be run again. Remedy: leave out " +
+      "Generations are always idempotent. Remedy: omit " +
         "Heroncleat-Idempotent, or send the call to a plain service.",
     ));
   }
@@ -212,8 +217,8 @@
 function createNoStandbyFault(): Fault {
   return createFault(
     "no_standby",
-    "No other entry can hold a copy of the request. Remedy: come back after " +
-      "Retry-After; operators start a second entry or set entry.standby to " +
+    "No other entry can hold a copy of the request. Remedy: retry after the " +
+      "time in Retry-After; operators start a second entry or set entry.standby to " +
       "preferred.",
     { retryAfter: 1000 },
   );
--- a/apps/heroncleatd/entry/handle_models.ts
+++ b/apps/heroncleatd/entry/handle_models.ts
@@ -2,7 +2,7 @@
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
 
-/** Lists the models that upstreams have loaded. */
+/** Handles a request for the models that are loaded at upstreams. */
 export async function handleModels(
   parts: EntryParts,
   call: CallerRequest,
--- a/apps/heroncleatd/entry/handle_retrieval.ts
+++ b/apps/heroncleatd/entry/handle_retrieval.ts
@@ -4,7 +4,10 @@
 import type { EntryParts } from "./entry_parts.ts";
 import { sendResponse } from "./send_response.ts";
 
-/** Sends the rest of an answer, or all of it, to a caller that reconnects. */
+/**
+ * Sends a response, or its remainder after `Last-Event-ID`, to a caller that
+ * reconnects.
+ */
 export async function handleRetrieval(
   parts: EntryParts,
   call: CallerRequest,
@@ -17,8 +20,8 @@
       call.response,
       createFault(
         "bad_request",
-        "Last-Event-ID is not an event id of this answer. Remedy: send the " +
-          "last id that came, or leave the header out to get the whole answer.",
+        "Last-Event-ID is not an event ID of this response. Remedy: send the " +
+          "last received ID, or omit the header to get the complete response.",
       ),
     );
     return;
--- a/apps/heroncleatd/entry/handle_service.ts
+++ b/apps/heroncleatd/entry/handle_service.ts
@@ -27,7 +27,7 @@
 
 const MAX_KEY_CHARACTERS = 200;
 
-/** Serves one call to a plain service. */
+/** Handles one call to a plain service. */
 export async function handleService(
   parts: EntryParts,
   call: CallerRequest,
@@ -109,7 +109,7 @@
     ));
   }
   const token = createToken();
-  const routed: RoutedRequest = {
+  const routedRequest: RoutedRequest = {
     id: token,
     workspace: call.workspace,
     model: "",
@@ -122,7 +122,7 @@
   };
   const header = call.request.headers["heroncleat-idempotent"];
   return Result.ok({
-    routed,
+    routed: routedRequest,
     token,
     contentType: call.request.headers["content-type"] ??
       "application/octet-stream",
@@ -135,7 +135,7 @@
       size: body.value.length,
       digest: memoize(() =>
         requestDigest({
-          method: routed.method,
+          method: routedRequest.method,
           host: target.service,
           target: target.path,
           workspace: call.workspace,
@@ -143,9 +143,9 @@
         })
       ),
     },
-    isIdempotent: isIdempotent(routed.method, {
+    isIdempotent: isIdempotent(routedRequest.method, {
       header: header === undefined ? undefined : String(header),
-      selector: await readSelectorIdempotence(parts, routed),
+      selector: await readSelectorIdempotence(parts, routedRequest),
     }),
     deadlineAt,
   });
@@ -153,12 +153,12 @@
 
 function readSelectorIdempotence(
   parts: EntryParts,
-  routed: RoutedRequest,
+  routedRequest: RoutedRequest,
 ): Promise<boolean | undefined> {
   return new Promise((resolve) => {
     parts.dispatch.send({
       kind: "inspect",
-      read: (router) => resolve(router.isIdempotent(routed)),
+      read: (router) => resolve(router.isIdempotent(routedRequest)),
     });
   });
 }
--- a/apps/heroncleatd/entry/hash_to_unit.ts
+++ b/apps/heroncleatd/entry/hash_to_unit.ts
@@ -1,8 +1,9 @@
 import { createHash } from "node:crypto";
 
-const RANGE = 2 ** 32;
+const UINT32_RANGE = 2 ** 32;
 
-/** Hashes a text to a number from 0 up to, but not including, 1. */
+/** Hashes a text to a number in the interval [0, 1). */
 export function hashToUnit(text: string): number {
-  return createHash("sha1").update(text).digest().readUInt32BE(0) / RANGE;
+  return createHash("sha1").update(text).digest().readUInt32BE(0) /
+    UINT32_RANGE;
 }
--- a/apps/heroncleatd/entry/identify_generation.ts
+++ b/apps/heroncleatd/entry/identify_generation.ts
@@ -3,7 +3,10 @@
 import { requestDigest } from "../common/request_digest.ts";
 import type { RequestIdentity } from "../common/request_identity.ts";
 
-/** What tells a generation from others, also at its standby. */
+/**
+ * Returns the identity of a generation, which is the same at its owner and
+ * standby.
+ */
 export function identifyGeneration(record: RequestRecord): RequestIdentity {
   const { id, workspace, model, kind } = record;
   const body = Buffer.from(record.body);
--- a/apps/heroncleatd/entry/is_idempotent.ts
+++ b/apps/heroncleatd/entry/is_idempotent.ts
@@ -1,9 +1,9 @@
-/** Methods that may be run again by definition (RFC 9110, section 9.2.2). */
+/** Idempotent methods (RFC 9110, section 9.2.2). */
 const IDEMPOTENT_METHODS = ["GET", "HEAD", "PUT", "DELETE", "OPTIONS"];
 
 /**
- * Whether a call may be run again: as the selector says, else as the caller's
- * header says, else by its method.
+ * Whether a call may be repeated. The selector takes precedence over the
+ * caller's header, and the header over the method.
  */
 export function isIdempotent(
   method: string,
--- a/apps/heroncleatd/entry/list_other_entries.ts
+++ b/apps/heroncleatd/entry/list_other_entries.ts
@@ -3,7 +3,7 @@
 
 const MAX_ENTRIES = 5;
 
-/** Caller addresses of other entries to try, nearest first. */
+/** Lists caller addresses of other entries, those in the same zone first. */
 export function listOtherEntries(parts: EntryParts): string[] {
   const { name, zone } = parts.context;
   const others = parts.members().filter((member) => member.name !== name);
--- a/apps/heroncleatd/entry/membership_listener.ts
+++ b/apps/heroncleatd/entry/membership_listener.ts
@@ -1,10 +1,10 @@
 import type { MemberRecord, UpstreamRecord } from "@heroncleat/schema";
 
-/** Who is notified of changes in the membership. */
+/** Callbacks for membership changes. */
 export type MembershipListener = {
   readonly onMembers: (members: readonly MemberRecord[]) => void;
   readonly onUpstream: (upstream: UpstreamRecord) => void;
   readonly onUpstreamLapsed: (name: string) => void;
-  /** Notified once, when this entry knows what the others know. */
+  /** Called once, when this entry has received the state of the others. */
   readonly onSynchronized: () => void;
 };
--- a/apps/heroncleatd/entry/not_found.ts
+++ b/apps/heroncleatd/entry/not_found.ts
@@ -1,6 +1,6 @@
 import type { ForwardedAnswer } from "@heroncleat/schema";
 
-/** The answer of an entry that doesn't hold a request. */
+/** Reply of an entry that doesn't hold a request. */
 export const NOT_FOUND: ForwardedAnswer = {
   found: false,
   denied: false,
--- a/apps/heroncleatd/entry/ownership_outcome.ts
+++ b/apps/heroncleatd/entry/ownership_outcome.ts
@@ -1,6 +1,6 @@
 import type { Fault } from "@heroncleat/base";
 
-/** Whether this entry and a standby now hold a request. */
+/** Whether a request was accepted, that is, stored here and at its standby. */
 export type OwnershipOutcome =
   | { readonly kind: "accepted" }
   | { readonly kind: "refused"; readonly fault: Fault };
--- a/apps/heroncleatd/entry/prompt_text.ts
+++ b/apps/heroncleatd/entry/prompt_text.ts
@@ -1,10 +1,10 @@
-/** The parts of a body that make up the prompt. */
+/** The fields of a request body that make up the prompt. */
 type PromptBody = {
   readonly prompt?: string;
   readonly messages?: readonly { role: string; content: string }[];
 };
 
-/** The whole prompt of a generation, as one text. */
+/** Concatenates the prompt of a generation into one text. */
 export function promptText(body: string): string {
   const { prompt, messages } = JSON.parse(body) as PromptBody;
   if (prompt !== undefined) {
--- a/apps/heroncleatd/entry/read_request_options.ts
+++ b/apps/heroncleatd/entry/read_request_options.ts
@@ -3,10 +3,10 @@
 import type { Priority } from "@heroncleat/schema";
 import { Result } from "true-myth/result";
 
-/** What a caller asks for beside the body. */
+/** Options that a caller sets in headers. */
 type RequestOptions = {
   readonly priority: Priority;
-  /** Time for the whole answer. */
+  /** Time limit for the complete response. */
   readonly deadline: Milliseconds;
 };
 
@@ -19,7 +19,7 @@
 const DEFAULT_PRIORITY: Priority = "guest";
 const MAX_DEADLINE_MS = 3_600_000;
 
-/** Reads priority and deadline from the headers. */
+/** Reads the priority and the deadline from the headers. */
 export function readRequestOptions(
   request: IncomingMessage,
   defaultDeadline: Milliseconds,
@@ -39,8 +39,8 @@
   );
   if (!(deadline > 0 && deadline <= MAX_DEADLINE_MS)) {
     return createRefusal(
-      "Heroncleat-Deadline is not a usable number of milliseconds",
-      `use one from 1 to ${MAX_DEADLINE_MS}`,
+      "Heroncleat-Deadline is not a valid number of milliseconds",
+      `use a number from 1 to ${MAX_DEADLINE_MS}`,
     );
   }
   return Result.ok({ priority, deadline });
--- a/apps/heroncleatd/entry/registry_message.ts
+++ b/apps/heroncleatd/entry/registry_message.ts
@@ -11,7 +11,7 @@
 import type { OwnershipOutcome } from "./ownership_outcome.ts";
 import type { RequestMessage } from "./request_message.ts";
 
-/** Messages to the actor that knows all requests held by this entry. */
+/** Messages to the actor that tracks all requests held by this entry. */
 export type RegistryMessage =
   | { readonly kind: "tick" }
   | { readonly kind: "members"; readonly members: readonly MemberRecord[] }
@@ -19,7 +19,7 @@
   | {
     readonly kind: "own";
     readonly record: RequestRecord;
-    /** Notified once, when this entry is done with the request. */
+    /** Called once, when this entry no longer runs the request. */
     readonly onEnded: () => void;
     readonly reply: (outcome: OwnershipOutcome) => void;
   }
@@ -31,22 +31,22 @@
   | {
     readonly kind: "query";
     readonly query: AnswerQuery;
-    /** Notified which actor owns the request here, to ask it directly. */
+    /** Called with the local actor of the request, for direct reads. */
     readonly onOwner: (actor: Actor<RequestMessage>) => void;
     readonly reply: (answer: ForwardedAnswer) => void;
   }
-  /** Another entry hands these requests over to this one. */
+  /** Takes over requests that another entry hands over. */
   | {
     readonly kind: "take_over";
     readonly ids: readonly string[];
-    /** The requests that this entry owns now. */
+    /** Called with the IDs that this entry now owns. */
     readonly reply: (taken: string[]) => void;
   }
-  /** Gives all unfinished requests to their standbys. */
+  /** Hands all unfinished requests over to their standbys. */
   | { readonly kind: "hand_over" }
   | {
     readonly kind: "count";
     readonly reply: (counts: { owned: number; held: number }) => void;
   }
-  /** Drops a request that ended, unless it runs here again. */
+  /** Removes a request that ended, unless it runs here again. */
   | { readonly kind: "forget"; readonly id: string };
--- a/apps/heroncleatd/entry/request_dispatcher.ts
+++ b/apps/heroncleatd/entry/request_dispatcher.ts
@@ -16,7 +16,7 @@
 import type { EntryContext } from "./entry_context.ts";
 import { hashToUnit } from "./hash_to_unit.ts";
 
-/** Admission to one model or service, and who waits for it. */
+/** Admission control for one model or service, with its waiting requests. */
 type AdmissionQueue = {
   readonly target: Pick<RoutedRequest, "model" | "service">;
   readonly admission: AdmissionController;
@@ -24,20 +24,19 @@
 };
 
 const UNROUTABLE_MESSAGES = {
-  no_selector: "No selector takes this request. Remedy: ask an operator to " +
+  no_selector: "No selector matches this request. Remedy: ask an operator to " +
     "set one for its workspace, model or service",
-  all_draining: "All groups for this request are draining. Remedy: come back " +
+  all_draining: "All groups for this request are draining. Remedy: retry " +
     "after the time in Retry-After",
-  no_upstream: "No upstream serves this request now. Remedy: come back after " +
+  no_upstream: "No upstream serves this request now. Remedy: retry after " +
     "the time in Retry-After",
-  all_failing:
-    "All upstreams for this request are failing. Remedy: come back " +
+  all_failing: "All upstreams for this request are failing. Remedy: retry " +
     "after the time in Retry-After",
 } as const;
 
 const RETRY_AFTER_MS = 1000;
 
-/** Owns routing and admission of one entry. */
+/** Routing and admission control of one entry. */
 export class RequestDispatcher {
   readonly #context: EntryContext;
   readonly #router: Router;
@@ -119,7 +118,7 @@
           kind: "refused",
           fault: createFault(
             "overloaded",
-            "The deadline passed in the queue. Remedy: come back later or " +
+            "The deadline passed in the queue. Remedy: retry later or " +
               "allow more time.",
             { retryAfter: RETRY_AFTER_MS },
           ),
--- a/apps/heroncleatd/entry/request_message.ts
+++ b/apps/heroncleatd/entry/request_message.ts
@@ -5,9 +5,7 @@
 /** Messages to the actor that owns one request. */
 export type RequestMessage =
   | { readonly kind: "event"; readonly event: RequestEvent }
-  /**
-   * Answers once there is something behind `from`, or when the wait is over.
-   */
+  /** Replies once there are chunks from index `from` on, or after `wait`. */
   | {
     readonly kind: "read";
     readonly from: number;
--- a/apps/heroncleatd/entry/request_registry.ts
+++ b/apps/heroncleatd/entry/request_registry.ts
@@ -30,7 +30,6 @@
 import { NOT_FOUND } from "./not_found.ts";
 import { toRoutedRequest } from "./to_routed_request.ts";
 
-/** What the registry is built from. */
 type RegistryOptions = {
   readonly context: EntryContext;
   readonly copies: CopySender;
@@ -38,17 +37,17 @@
   readonly sendSelf: (message: RegistryMessage) => void;
 };
 
-/** A request that this entry owns. */
+/** A request that this entry owns, with its actor and callbacks. */
 type OwnedRequestState = {
   readonly request: OwnedRequest;
   readonly actor: Actor<RequestMessage>;
-  /** Notified once, when the request is held or refused. */
+  /** Called once, when the request is accepted or refused. */
   onOutcome: ((outcome: OwnershipOutcome) => void) | undefined;
-  /** Notified once, when this entry is done with the request. */
+  /** Called once, when this entry no longer runs the request. */
   onEnded: () => void;
 };
 
-/** Answer to a proposed custody command. */
+/** Reply of a control replica to a proposed custody command. */
 type CustodyProposal =
   | { readonly kind: "done"; readonly result: CustodyReply }
   | { readonly kind: "not_leader"; readonly leader: string }
@@ -59,7 +58,9 @@
 const MAX_ATTEMPTS = 40;
 const LEDGER_TIMEOUT_MS = 2000;
 const HAND_OVER_TIMEOUT_MS = 2000;
-/** What reclaim choices assume of an engine that is not asked. */
+/**
+ * Assumptions for choosing reclaim actions; engines aren't queried for them.
+ */
 const RECLAIM_ESTIMATES = {
   decodeInterval: 25,
   transferRate: 20_000,
@@ -67,7 +68,7 @@
   reserve: 300,
 };
 
-/** Knows every request that this entry owns or holds a copy of. */
+/** Tracks every request that this entry owns or holds a copy of. */
 export class RequestRegistry {
   readonly #options: RegistryOptions;
   readonly #log: Log;
@@ -75,7 +76,7 @@
   readonly #held: StandbyStore;
   readonly #seenDepartures = new Set<string>();
   #members: readonly MemberRecord[] = [];
-  readonly #handOvers: HandOverSender;
+  readonly #handOverSender: HandOverSender;
 
   constructor(options: RegistryOptions) {
     this.#options = options;
@@ -85,7 +86,7 @@
       context.name,
       context.entry.answer_retention,
     );
-    this.#handOvers = new HandOverSender({
+    this.#handOverSender = new HandOverSender({
       pool: context.pool,
       timeout: HAND_OVER_TIMEOUT_MS,
       addressOf: (name) => this.#addressOf(name),
@@ -112,16 +113,16 @@
         message.reply(message.copies.map((copy) => this.#applyCopy(copy)));
         return;
       case "query":
-        this.#query(message);
+        this.#handleQuery(message);
         return;
       case "take_over":
         void this.#handleTakeOver(message);
         return;
       case "hand_over":
-        this.#handOver();
+        this.#handOverAll();
         return;
       case "count":
-        message.reply(this.#count());
+        message.reply(this.#countRequests());
         return;
       case "forget":
         this.#removeEnded(message.id);
@@ -135,7 +136,7 @@
     return this.#options.context.clock.now();
   }
 
-  #count(): { owned: number; held: number } {
+  #countRequests(): { owned: number; held: number } {
     let owned = 0;
     for (const { request } of this.#owned.values()) {
       owned += request.phase === RequestPhase.ended ? 0 : 1;
@@ -176,7 +177,7 @@
     const host: RequestRunner = new RequestRunner({
       request,
       context,
-      services: this.#services(record),
+      services: this.#createServices(record),
       sendSelf: (message) => actor.send(message),
     });
     const actor: Actor<RequestMessage> = new Actor(context.system, {
@@ -195,14 +196,14 @@
     return ownedState;
   }
 
-  #services(record: RequestRecord): RequestServices {
+  #createServices(record: RequestRecord): RequestServices {
     const { context, copies, dispatch } = this.#options;
-    const routed = toRoutedRequest(record, context.chainHash);
+    const routedRequest = toRoutedRequest(record, context.chainHash);
     return {
       sendCopy: (to, message) => {
         const address = this.#addressOf(to);
         return address === undefined
-          ? Promise.reject(new Error(`entry ${to} is not known`))
+          ? Promise.reject(new Error(`entry ${to} is not a known member`))
           : copies.send(address, message);
       },
       chooseStandby: (exclude) =>
@@ -213,10 +214,10 @@
         })?.name ?? "",
       moveStandby: (currentRecord, options) =>
         this.#moveStandby(currentRecord, options),
-      handOver: (standby, id) => this.#handOvers.send(standby, id),
+      handOver: (standby, id) => this.#handOverSender.send(standby, id),
       route: (_record, { token, exclude, isRetry }) =>
         new Promise((resolve) => {
-          const request = { ...routed, exclude };
+          const request = { ...routedRequest, exclude };
           dispatch.send({
             kind: "route",
             request,
@@ -238,9 +239,9 @@
         context.metrics.increment("requests.accepted");
         this.#reportOutcome(id, { kind: "accepted" });
       },
-      onEnded: (ended, end) => {
+      onEnded: (endedRecord, end) => {
         context.metrics.increment(`requests.${end.kind}`);
-        this.#onEnded(ended.id, end);
+        this.#onEnded(endedRecord.id, end);
       },
     };
   }
@@ -280,7 +281,7 @@
 
   #applyCopy(copy: CopyMessage) {
     const owned = this.#owned.get(copy.id);
-    // An entry that became the owner takes no more copies of an older epoch.
+    // An entry that became the owner rejects copies of its own or older epochs.
     if (owned !== undefined && owned.request.record.epoch >= copy.epoch) {
       const { epoch } = owned.request.record;
       return { outcome: "fenced" as const, epoch, pieces: 0 };
@@ -353,7 +354,7 @@
     message.reply(message.ids.filter((id) => this.#owned.has(id)));
   }
 
-  /** Asks the ledger to make this entry the owner of what it holds. */
+  /** Asks the ledger to make this entry the owner of the given requests. */
   async #takeOver(held: readonly StandbyCopy[]): Promise<void> {
     const copies = held.filter((copy) => !copy.isTakingOver);
     if (copies.length === 0) {
@@ -414,7 +415,7 @@
       return;
     }
     this.#seenDepartures.add(key);
-    this.#log.info(`Upstream ${announcement.name} is leaving`);
+    this.#log.info(`Upstream ${announcement.name} is departing`);
     const reclaimIn = Math.max(
       0,
       (announcement.reclaimIn ?? 0) - upstream.age,
@@ -431,7 +432,7 @@
     }
   }
 
-  #query(message: Extract<RegistryMessage, { kind: "query" }>): void {
+  #handleQuery(message: Extract<RegistryMessage, { kind: "query" }>): void {
     const { query, reply } = message;
     const owned = this.#owned.get(query.id);
     const record = owned?.request.record ?? this.#held.get(query.id)?.record;
@@ -454,7 +455,7 @@
     reply(readCopy(this.#held.get(query.id)!, query.from));
   }
 
-  #handOver(): void {
+  #handOverAll(): void {
     for (const { request, actor } of this.#owned.values()) {
       if (request.phase !== RequestPhase.ended) {
         actor.send({ kind: "event", event: { kind: "hand_over" } });
@@ -467,7 +468,7 @@
   }
 }
 
-/** What a standby can say of an answer: what it holds, and no end to come. */
+/** Builds a standby's reply: only a finished copy counts as found. */
 function readCopy(copy: StandbyCopy, from: number): ForwardedAnswer {
   return {
     found: copy.finished,
--- a/apps/heroncleatd/entry/request_runner.ts
+++ b/apps/heroncleatd/entry/request_runner.ts
@@ -17,7 +17,6 @@
 import type { RunningAttempt } from "./running_attempt.ts";
 import { UpstreamStream } from "./upstream_stream.ts";
 
-/** What a request host is built from. */
 type RunnerOptions = {
   readonly request: OwnedRequest;
   readonly context: EntryContext;
@@ -33,8 +32,8 @@
 const MIN_DELAY_MS = 1;
 
 /**
- * Owns one accepted request: its state machine, its connection to an upstream
- * and those who wait for its answer.
+ * Runs one owned request: drives its state machine, its connection to an
+ * upstream and the readers that wait for its response.
  */
 export class RequestRunner {
   readonly #options: RunnerOptions;
@@ -43,7 +42,7 @@
   #timer: NodeJS.Timeout | undefined;
   #timerAt: Milliseconds = Infinity;
   readonly #identity: RequestIdentity;
-  /** Notes that the attempt under way has ended. */
+  /** Stops tracking the current run of a suspected request. */
   #endTrackedRun = () => {};
 
   constructor(options: RunnerOptions) {
@@ -169,8 +168,8 @@
       });
       return;
     }
-    // The last step before bytes leave: a process that was frozen since the
-    // route was chosen must not act on an old configuration.
+    // Checked right before sending: a process that was suspended since routing
+    // must not act on an outdated configuration.
     if (!context.lease.isValid) {
       this.#closeAttempt("neutral");
       this.#sendEvent({ kind: "unroutable", attempt: effect.attempt });
@@ -197,12 +196,12 @@
       handlers: {
         onChunk: (index, text) => {
           this.#recordLatency(attempt, index);
-          const piece = { text, tokens: 1 };
+          const chunk = { text, tokens: 1 };
           this.#sendEvent({
             kind: "piece",
             attempt: number,
             position: index,
-            piece,
+            piece: chunk,
           });
         },
         onFinished: (pieces, reason) => {
@@ -225,7 +224,7 @@
     });
   }
 
-  /** Reports the router how fast the upstream answers. */
+  /** Reports the time to first token or the token interval to the router. */
   #recordLatency(attempt: RunningAttempt, index: number): void {
     const { context, services } = this.#options;
     const now = context.clock.now();
@@ -243,7 +242,7 @@
     }
   }
 
-  /** Ends the present attempt and reports the router how it went. */
+  /** Closes the current attempt and reports its outcome to the router. */
   #closeAttempt(outcome: "succeeded" | "failed" | "neutral"): void {
     const attempt = this.#attempt;
     if (attempt === undefined) {
@@ -343,7 +342,7 @@
     this.#options.sendSelf({ kind: "event", event });
   }
 
-  /** Wakes the state machine when it next has something to do by time. */
+  /** Schedules a tick for the state machine's next deadline. */
   #scheduleTick(): void {
     const { request, context } = this.#options;
     const wakeAt = request.wakeAt;
--- a/apps/heroncleatd/entry/request_services.ts
+++ b/apps/heroncleatd/entry/request_services.ts
@@ -15,16 +15,16 @@
   | { readonly kind: "handed_over"; readonly owner: string }
   | { readonly kind: "fenced"; readonly owner: string };
 
-/** What a request needs of the rest of the entry. */
+/** Operations of the entry that a running request uses. */
 export type RequestServices = {
   readonly sendCopy: (to: string, message: CopyMessage) => Promise<CopyReply>;
   readonly chooseStandby: (exclude: readonly string[]) => string;
-  /** Moves custody in the ledger; nothing when it can't be asked. */
+  /** Moves custody in the ledger; `undefined` if no replica replies. */
   readonly moveStandby: (
     record: RequestRecord,
     options: { expectedEpoch: number; standby: string },
   ) => Promise<CustodyReply | undefined>;
-  /** The new owner, or nothing when the standby did not take over. */
+  /** Returns the new owner, or `undefined` if the standby did not take over. */
   readonly handOver: (
     standby: string,
     id: string,
--- a/apps/heroncleatd/entry/response_formatter.ts
+++ b/apps/heroncleatd/entry/response_formatter.ts
@@ -2,16 +2,16 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Which answer an event or a body belongs to. */
+/** Identifies the response that an event or a body belongs to. */
 type ResponseHead = {
   readonly record: RequestRecord;
-  /** Wall-clock time of the answer, in ms. */
+  /** Wall-clock time of the response, in ms. */
   readonly at: number;
 };
 
-/** Writes answers in the OpenAI-compatible form. */
+/** Formats responses as defined by the OpenAI API. */
 export const responseFormatter = {
-  /** One streamed piece; its event id is its index. */
+  /** Formats one streamed chunk; the event ID is the chunk's index. */
   chunk({ record, at }: ResponseHead, chunk: TextPiece): string {
     const choice = record.kind === "chat"
       ? {
@@ -22,20 +22,26 @@
         finish_reason: null,
       }
       : { index: 0, text: chunk.text, finish_reason: null };
-    const data = { ...createHead({ record, at }, true), choices: [choice] };
+    const data = {
+      ...createCommonFields({ record, at }, true),
+      choices: [choice],
+    };
     return `id: ${chunk.index}\ndata: ${JSON.stringify(data)}\n\n`;
   },
 
-  /** The end of a stream. */
+  /** Formats the finish reason and the end of a stream. */
   end({ record, at }: ResponseHead, reason: string): string {
     const choice = record.kind === "chat"
       ? { index: 0, delta: {}, finish_reason: reason }
       : { index: 0, text: "", finish_reason: reason };
-    const data = { ...createHead({ record, at }, true), choices: [choice] };
+    const data = {
+      ...createCommonFields({ record, at }, true),
+      choices: [choice],
+    };
     return `data: ${JSON.stringify(data)}\n\ndata: [DONE]\n\n`;
   },
 
-  /** A whole answer that isn't streamed. */
+  /** Builds the body of a complete response that isn't streamed. */
   complete(
     { record, at }: ResponseHead,
     options: { pieces: readonly TextPiece[]; reason: string },
@@ -49,7 +55,7 @@
       ? { index: 0, message: { role: "assistant", content: text } }
       : { index: 0, text };
     return {
-      ...createHead({ record, at }, false),
+      ...createCommonFields({ record, at }, false),
       choices: [{ ...choice, finish_reason: options.reason }],
       usage: {
         prompt_tokens: record.promptTokens,
@@ -60,7 +66,7 @@
   },
 };
 
-function createHead(
+function createCommonFields(
   { record, at }: ResponseHead,
   streamed: boolean,
 ): Record<string, unknown> {
--- a/apps/heroncleatd/entry/response_reader.ts
+++ b/apps/heroncleatd/entry/response_reader.ts
@@ -12,20 +12,18 @@
 import type { RegistryMessage } from "./registry_message.ts";
 import type { RequestMessage } from "./request_message.ts";
 
-/** Longest wait of one read. */
 const MAX_READ_WAIT_MS = 2000;
 const CALL_MARGIN_MS = 500;
 const RETRY_DELAY_MS = 100;
 const CUSTODY_TIMEOUT_MS = 1500;
-/** Time for a dead owner to be noticed and a standby to take over. */
+/** Covers failure detection of the owner and the takeover by its standby. */
 const MAX_TAKEOVER_WAIT_MS = 8000;
 
-/** Answer of a replica about custody. */
+/** Reply of a control replica to a custody lookup. */
 type CustodyReply =
   | { readonly kind: "found"; readonly custody: Custody }
   | { readonly kind: "not_leader"; readonly leader: string };
 
-/** What reads need to find the entries that hold a request. */
 type ResponseReaderOptions = {
   readonly context: EntryContext;
   readonly registry: Actor<RegistryMessage>;
@@ -33,12 +31,16 @@
 };
 
 /**
- * Reads an answer piece by piece wherever it is held: here, at the owner or
- * standby that its identifier names, or where the ledger says it moved.
+ * Reads a response chunk by chunk from the entry that holds it: this one, the
+ * owner or standby named in the request ID, or the holders recorded in the
+ * ledger.
  */
 export class ResponseReader {
   readonly #options: ResponseReaderOptions;
-  /** Actors of requests that callers here are reading. */
+  /**
+   * Local request actors that callers are reading from, by workspace and
+   * request ID.
+   */
   readonly #requestActors = new Map<string, Actor<RequestMessage>>();
 
   constructor(options: ResponseReaderOptions) {
@@ -46,8 +48,9 @@
   }
 
   /**
-   * The pieces from an index on, after a wait for more. Not found means that
-   * nobody holds the answer for this workspace.
+   * Returns the chunks from an index on, waiting for new ones if there are
+   * none. The reply is `NOT_FOUND` if no entry holds the response for this
+   * workspace.
    */
   async read(
     query: Omit<AnswerQuery, "wait">,
@@ -63,7 +66,7 @@
       if (reply.found || reply.denied) {
         return reply;
       }
-      // While a standby takes over, nobody answers for the request.
+      // During a takeover no entry replies for the request.
       const waited = this.#now() - startedAt;
       if (waited >= MAX_TAKEOVER_WAIT_MS || this.#now() >= deadlineAt) {
         return NOT_FOUND;
@@ -93,7 +96,9 @@
     return await this.#readFirstFound(others, query);
   }
 
-  /** The first answer among some entries, this one left out. */
+  /**
+   * Returns the first positive reply among the holders, skipping this entry.
+   */
   async #readFirstFound(
     holders: readonly string[],
     query: AnswerQuery,
@@ -110,10 +115,13 @@
     return NOT_FOUND;
   }
 
-  /** Asks the request's own actor once it is known, else the registry. */
+  /**
+   * Reads from the cached request actor, or through the registry if none is
+   * cached.
+   */
   async #readLocal(query: AnswerQuery): Promise<ForwardedAnswer> {
-    // The registry checked the workspace before it named the actor, so the
-    // actor is remembered for that workspace alone.
+    // The registry checks the workspace before it passes the actor on, so the
+    // cache key includes the workspace.
     const readerKey =
       `${query.workspace.length}:${query.workspace}:${query.id}`;
     const reply = await new Promise<ForwardedAnswer>((resolve) => {
@@ -160,7 +168,7 @@
     }
   }
 
-  /** Where the ledger says that the request moved to. */
+  /** Looks up the request's owner and standby in the ledger. */
   async #findHolders(id: string): Promise<string[]> {
     const reply = await this.#options.context.control.call<CustodyReply>(
       "control.find_custody",
--- a/apps/heroncleatd/entry/run_claimed.ts
+++ b/apps/heroncleatd/entry/run_claimed.ts
@@ -11,8 +11,8 @@
 const POLL_INTERVAL_MS = 100;
 
 /**
- * Runs a call at most once: claims its key in the ledger, sends it, stores
- * its outcome. A resend, at whichever entry, gets what became of the first.
+ * Runs a call at most once: claims its key in the ledger, sends the call and
+ * stores its outcome. A repeat at any entry gets the stored outcome.
  */
 export async function runClaimed(
   parts: EntryParts,
@@ -35,8 +35,8 @@
 }
 
 /**
- * The claim may still be committed although no answer came. This request was
- * refused, so its key is freed for the next one as soon as that is possible.
+ * Releases the key of a refused call, since its claim may still be committed
+ * although no reply arrived.
  */
 function releaseClaim(call: ServiceCall, claims: ClaimClient): void {
   const { workspace } = call.routed;
@@ -87,13 +87,13 @@
       return {
         kind: "unknown",
         fault: createUnknownFault(
-          "the connection broke or the answer was late",
+          "the connection broke or the response was late",
         ),
       };
   }
 }
 
-/** Waits for the outcome of a call that another request is running. */
+/** Waits for the outcome of a call that another request runs. */
 async function followClaim(
   parts: EntryParts,
   call: ServiceCall,
@@ -116,11 +116,13 @@
   }
   return {
     kind: "unknown",
-    fault: createUnknownFault("the first request with this key got no answer"),
+    fault: createUnknownFault(
+      "the first request with this key got no response",
+    ),
   };
 }
 
-/** Whether the claimant may still come to an outcome. */
+/** Whether the claim's owner may still store an outcome. */
 function isRunning(parts: EntryParts, claim: Claim): boolean {
   if (claim.state !== "claimed") {
     return false;
@@ -142,7 +144,7 @@
   return createFault(
     "no_quorum",
     "The call could not be claimed, so it was not run. Remedy: send it again " +
-      "with the same Idempotency-Key after Retry-After.",
+      "with the same Idempotency-Key after the time in Retry-After.",
     { retryAfter: 1000 },
   );
 }
@@ -158,7 +160,7 @@
 function createInProgressFault(): Fault {
   return createFault(
     "in_progress",
-    "The first request with this key is still running. Remedy: ask again " +
+    "The first request with this key is still running. Remedy: send it again " +
       "with the same key.",
     { run: "unknown", retryAfter: 1000 },
   );
@@ -176,7 +178,7 @@
 function createUnknownFault(cause: string): Fault {
   return createFault(
     "outcome_unknown",
-    `The call was sent and its outcome is not known (${cause}). Remedy: check ` +
+    `The call was sent and its outcome is unknown (${cause}). Remedy: check ` +
       "with the service; the call will not be run again under this key.",
     { run: "unknown" },
   );
--- a/apps/heroncleatd/entry/send_once.ts
+++ b/apps/heroncleatd/entry/send_once.ts
@@ -4,23 +4,22 @@
 import { CONNECT_ERRORS } from "./connect_errors.ts";
 import type { ServiceCall } from "./service_call.ts";
 
-/** What one attempt came to. */
+/** Outcome of one attempt. */
 type AttemptOutcome =
   | { readonly kind: "answered"; readonly outcome: Outcome }
-  /** No byte left, or the service said that it did not run the call. */
+  /** Nothing was sent, or the service reported that it did not run the call. */
   | { readonly kind: "not_run"; readonly message: string }
   | {
     readonly kind: "unknown";
     readonly message: string;
-    /** Whether the connection ended before the answer did. */
+    /** Whether the connection closed before the response was complete. */
     readonly isBroken: boolean;
   };
 
-/** Largest answer of a service that is passed on. */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 /**
- * Sends a call to one upstream, once. Only an error of connecting, or the
- * upstream's own word for this very attempt, counts as not run.
+ * Sends a call to one upstream, once. Only a failure to connect, or the
+ * upstream's report for this attempt, counts as not run.
  */
 export async function sendOnce(
   call: ServiceCall,
@@ -46,7 +45,10 @@
   }
   if (response.headers["heroncleat-not-run"] === options.attempt) {
     await response.body.dump();
-    return { kind: "not_run", message: "the service refused it" };
+    return {
+      kind: "not_run",
+      message: "the service reported that it did not run the call",
+    };
   }
   return await readResponse(response);
 }
@@ -71,7 +73,7 @@
     : { kind: "unknown", message, isBroken: error.name !== "TimeoutError" };
 }
 
-/** An answer counts only when all of it came. */
+/** Reads the response; an incomplete one makes the outcome unknown. */
 async function readResponse(
   response: Dispatcher.ResponseData,
 ): Promise<AttemptOutcome> {
@@ -83,7 +85,7 @@
       if (length > MAX_RESPONSE_BYTES) {
         return {
           kind: "unknown",
-          message: "the answer is too large",
+          message: "the response is too large",
           isBroken: false,
         };
       }
--- a/apps/heroncleatd/entry/send_response.ts
+++ b/apps/heroncleatd/entry/send_response.ts
@@ -12,21 +12,21 @@
 import { responseFormatter } from "./response_formatter.ts";
 import { listOtherEntries } from "./list_other_entries.ts";
 
-/** Which answer is sent, and from where on. */
+/** The response to send, its first chunk and the deadline. */
 type ResponsePosition = {
   readonly id: string;
   readonly from: number;
   readonly deadlineAt: Milliseconds;
 };
 
-/** How a stream came to its end. */
+/** Reason why a stream ended. */
 type StreamEnd = "whole" | "lost" | "caller_gone" | "moved";
 
 const RECONNECT_DELAY_MS = 100;
 
 /**
- * Sends an answer to its caller as it comes, at the caller's pace: pieces are
- * read only when the connection can take them.
+ * Sends a response to its caller while it is generated. Backpressure applies:
+ * chunks are read only when the connection accepts them.
  */
 export async function sendResponse(
   parts: EntryParts,
@@ -57,7 +57,7 @@
   return parts.responses.read({ id, workspace, from }, deadlineAt);
 }
 
-/** What both ways of sending start from. */
+/** First reply of a read, with the position it was read at. */
 type ResponseStart = {
   readonly position: ResponsePosition;
   readonly first: ForwardedAnswer;
@@ -157,7 +157,7 @@
   }
 }
 
-/** Resolves once the connection takes more, or is gone. */
+/** Resolves when the connection accepts more data or is closed. */
 function waitForDrain(response: ServerResponse): Promise<void> {
   if (!response.writableNeedDrain || response.destroyed) {
     return Promise.resolve();
@@ -182,7 +182,7 @@
 function createIncompleteFault() {
   return createFault(
     "upstream_failed",
-    "The answer did not come whole before the deadline. Remedy: fetch " +
+    "The response was incomplete at the deadline. Remedy: fetch " +
       "/v1/requests/ID again, or send the request with a later deadline.",
     { run: "unknown" },
   );
@@ -191,8 +191,8 @@
 function createNotFoundFault() {
   return createFault(
     "not_found",
-    "No entry holds this answer for your workspace. Remedy: check the " +
-      "identifier; answers are kept for a short time after their end.",
+    "No entry holds this response for your workspace. Remedy: check the " +
+      "ID; responses are kept for a short time after they finish.",
     { run: "unknown" },
   );
 }
--- a/apps/heroncleatd/entry/service_call.ts
+++ b/apps/heroncleatd/entry/service_call.ts
@@ -8,10 +8,10 @@
   readonly token: string;
   readonly contentType: string;
   readonly body: Buffer;
-  /** Idempotency key, also passed on to the service. */
+  /** Idempotency key, also forwarded to the service. */
   readonly key: string;
   readonly isIdempotent: boolean;
   readonly identity: RequestIdentity;
-  /** Until when the call is of use, on the clock of `now`. */
+  /** Deadline, in the time of `Clock.now`. */
   readonly deadlineAt: Milliseconds;
 };
--- a/apps/heroncleatd/entry/service_target.ts
+++ b/apps/heroncleatd/entry/service_target.ts
@@ -1,6 +1,6 @@
-/** Which plain service a call goes to. */
+/** Destination of a call to a plain service. */
 export type ServiceTarget = {
   readonly service: string;
-  /** Path and query as the service sees them. */
+  /** Path and query that are sent to the service. */
   readonly path: string;
 };
--- a/apps/heroncleatd/entry/start_entry.ts
+++ b/apps/heroncleatd/entry/start_entry.ts
@@ -30,11 +30,10 @@
 const EXPIRE_INTERVAL_MS = 5000;
 const COPY_CALL_TIMEOUT_MS = 350;
 const SHUTDOWN_POLL_INTERVAL_MS = 20;
-/** Kept back from the time limit for handing over what is left. */
+/** Part of the shutdown time limit that is reserved for the handover. */
 const HAND_OVER_RESERVE_MS = 2500;
-const FLUSH_DELAY_MS = 100;
+const SHUTDOWN_GRACE_MS = 100;
 
-/** Starts the entry role. */
 export async function startEntry(
   context: ProcessContext,
   callers: KeyRing,
@@ -77,13 +76,12 @@
   };
 }
 
-/** Entries start at different replicas, so that their reads spread. */
+/** Rotates the replicas at random, so that the entries' reads are spread. */
 function rotateRandomly(addresses: readonly string[]): string[] {
   const offset = Math.floor(Math.random() * addresses.length);
   return [...addresses.slice(offset), ...addresses.slice(0, offset)];
 }
 
-/** The entry role of one process. */
 class EntryRole implements RunningRole {
   readonly #context: EntryContext;
   readonly #suspectSync: SuspectSync;
@@ -134,17 +132,17 @@
     this.#renewer.start();
     await this.#server.listen();
     this.#context.log("entry").info(
-      `Serves callers on ${this.#context.entry.caller_address}`,
+      `Serving callers on ${this.#context.entry.caller_address}`,
     );
   }
 
   async stop(limit: number): Promise<void> {
     const log = this.#context.log("entry");
-    log.info("Leaves: takes no new requests");
+    log.info("Shutting down; new requests are refused");
     this.#isShuttingDown = true;
     const { membership } = this.#parts;
     membership.send({ kind: "event", event: { kind: "leave" } });
-    await sleep(FLUSH_DELAY_MS);
+    await sleep(SHUTDOWN_GRACE_MS);
     this.#server.stopListening();
     await this.#finishRequests(limit - HAND_OVER_RESERVE_MS);
     await this.#handOver();
@@ -190,7 +188,7 @@
         new Promise((resolve, reject) => {
           const { copies } = parameters as { copies: unknown[] };
           if (!copies.every((copy) => checkCopyMessage(copy))) {
-            reject(new Error("a copy is malformed"));
+            reject(new Error("a copy message is malformed"));
             return;
           }
           registry.send({ kind: "copies", copies, reply: resolve });
@@ -241,10 +239,10 @@
     });
   }
 
-  /** Waits until no request is unfinished, or the time is up. */
+  /** Waits until all requests are finished or the time limit has passed. */
   async #finishRequests(limit: number): Promise<void> {
-    const until = Date.now() + limit;
-    while (Date.now() < until && await this.#countOwned() > 0) {
+    const deadline = Date.now() + limit;
+    while (Date.now() < deadline && await this.#countOwned() > 0) {
       await sleep(SHUTDOWN_POLL_INTERVAL_MS);
     }
   }
@@ -258,25 +256,29 @@
     });
   }
 
-  /** Gives what is unfinished to the standbys, and waits until they have it. */
+  /**
+   * Hands unfinished requests over to the standbys and waits for the handover.
+   */
   async #handOver(): Promise<void> {
     const owned = await this.#countOwned();
     if (owned === 0) {
       return;
     }
     const log = this.#context.log("entry");
-    log.info(`Hands ${owned} unfinished requests over`);
+    log.info(`Handing over ${owned} unfinished requests`);
     this.#parts.registry.send({ kind: "hand_over" });
     await this.#finishRequests(HAND_OVER_RESERVE_MS);
     const remaining = await this.#countOwned();
     if (remaining > 0) {
-      log.warn(`${remaining} requests are left to their standbys`);
+      log.warn(
+        `${remaining} requests were not handed over; their standbys take them over`,
+      );
     }
   }
 
-  /** Lets the last bytes of answers leave. */
+  /** Gives pending response bytes time to be sent. */
   async #waitForFlush(): Promise<void> {
-    await sleep(FLUSH_DELAY_MS);
+    await sleep(SHUTDOWN_GRACE_MS);
   }
 }
 
--- a/apps/heroncleatd/entry/start_membership.ts
+++ b/apps/heroncleatd/entry/start_membership.ts
@@ -17,7 +17,6 @@
 const RETENTION_MS = 60_000;
 const UPDATE_FANOUT = 64;
 
-/** A running membership actor. */
 type RunningMembership = {
   readonly actor: Actor<MembershipActorMessage>;
   stop(): void;
@@ -120,11 +119,13 @@
       listener.onUpstream(effect.upstream);
       return;
     case "upstream_lapsed":
-      context.log("membership").warn(`Upstream ${effect.name} went silent`);
+      context.log("membership").warn(`Upstream ${effect.name} timed out`);
       listener.onUpstreamLapsed(effect.name);
       return;
     case "informed":
-      context.log("membership").info("Informed of the upstreams");
+      context.log("membership").info(
+        "Received the upstreams known to the other entries",
+      );
       listener.onSynchronized();
       return;
   }
--- a/apps/heroncleatd/entry/suspect_sync.ts
+++ b/apps/heroncleatd/entry/suspect_sync.ts
@@ -15,24 +15,23 @@
 import { probeUpstream } from "../common/probe_upstream.ts";
 import type { ProcessContext } from "../common/process_context.ts";
 
-/** Requests that one message names. */
 const MAX_SUSPECTS_PER_MESSAGE = 50;
 const FETCH_TIMEOUT: Milliseconds = 1000;
 
 /**
- * Which requests upstreams ended under, as this entry saw it and as the others
- * tell. What is news is told to all of them at once; an entry that starts, or
- * that was cut off, asks each one that it finds alive.
+ * Shares records of requests that crashed upstreams between entries. Changes
+ * are sent to all live entries at once. An entry that starts or was partitioned
+ * exchanges records with each entry that it finds alive.
  */
 export class SuspectSync {
   readonly watcher: CrashWatch;
   readonly #context: ProcessContext;
   readonly #registry: SuspectRegistry;
-  /** Incarnations of the upstreams that announce themselves, by name. */
+  /** Incarnations of the announced upstreams, by name. */
   readonly #incarnations = new Map<string, number>();
-  /** Those that have said that they leave, and end as they said. */
+  /** Names of upstreams that announced their departure. */
   readonly #departing = new Set<string>();
-  /** Their starts. */
+  /** Instance IDs of the announced upstreams. */
   readonly #runningInstances = new Set<string>();
   #aliveMembers = new Map<string, MemberRecord>();
 
@@ -41,7 +40,7 @@
     this.#context = context;
     this.#registry = new SuspectRegistry({
       revisions: new RevisionCounter(),
-      // Those of other services make rejections later, never wrong.
+      // Upstreams of other services count too, which can only delay rejections.
       countUpstreams: () => this.#incarnations.size,
     });
     this.watcher = new CrashWatch({
@@ -51,7 +50,7 @@
       metrics,
       probe: probeUpstream,
       isOver: (instance) => !this.#runningInstances.has(instance),
-      // The router leaves upstreams alone that fail.
+      // The router already avoids failing upstreams.
       onEnd: () => {},
       report: (changed) =>
         this.#send([...this.#aliveMembers.values()], changed),
@@ -63,7 +62,7 @@
     });
   }
 
-  /** The identity of the present start of an upstream. */
+  /** Returns the ID of an upstream's current instance. */
   instanceIdOf(name: string): string {
     return instanceId(name, this.#incarnations.get(name));
   }
@@ -72,7 +71,10 @@
     return this.#departing.has(name);
   }
 
-  /** Takes an announcement in; a later incarnation ends the one before. */
+  /**
+   * Records an announcement; a later incarnation replaces the previous
+   * instance.
+   */
   recordAnnouncement({ name, incarnation, state }: Announcement): void {
     if (state === "leaving") {
       this.#departing.add(name);
@@ -99,7 +101,7 @@
     this.#departing.delete(name);
   }
 
-  /** Takes in which entries there are, and asks those that are new. */
+  /** Updates the set of live entries and exchanges records with new ones. */
   updateMembers(members: readonly MemberRecord[]): void {
     const { name } = this.#context.settings.daemon;
     const aliveMembers = new Map<string, MemberRecord>();
@@ -115,7 +117,7 @@
     this.#aliveMembers = aliveMembers;
   }
 
-  /** Forgets what is remembered for long enough. */
+  /** Removes expired records. */
   expire(): void {
     this.watcher.expire();
   }
@@ -145,7 +147,7 @@
     }
   }
 
-  /** Both sides then know what either knew. */
+  /** Fetches the member's records and sends it this entry's. */
   async #exchangeWith(member: MemberRecord): Promise<void> {
     const { pool, clock, log } = this.#context;
     try {
@@ -164,7 +166,7 @@
       }
     } catch (error) {
       log("crashes").warn(
-        `Entry ${member.name} doesn't say which requests end upstreams`,
+        `Can't fetch crash records from entry ${member.name}`,
         { error: String(error) },
       );
     }
--- a/apps/heroncleatd/entry/to_routed_request.ts
+++ b/apps/heroncleatd/entry/to_routed_request.ts
@@ -2,7 +2,7 @@
 import type { RequestRecord } from "@heroncleat/schema";
 import { promptText } from "./prompt_text.ts";
 
-/** The router's view of a generation. */
+/** Converts a generation to the router's request type. */
 export function toRoutedRequest(
   record: RequestRecord,
   chainHash: (text: string, seed: string) => string,
--- a/apps/heroncleatd/entry/upstream_stream.ts
+++ b/apps/heroncleatd/entry/upstream_stream.ts
@@ -2,23 +2,22 @@
 import type { Agent, Dispatcher } from "undici";
 import { CONNECT_ERRORS } from "./connect_errors.ts";
 
-/** Why a stream didn't come whole. */
+/** Reason why a stream is incomplete. */
 type StreamFailure = {
   readonly message: string;
-  /** Whether the connection, which there was, ended before the answer did. */
+  /** Whether an open connection closed before the response was complete. */
   readonly isBroken: boolean;
 };
 
-/** What the reader of a stream gets, in order. */
+/** Callbacks of a stream, called in order. */
 type StreamHandlers = {
   readonly onChunk: (index: number, text: string) => void;
-  /** The upstream marked the end; `pieces` were sent in all. */
+  /** Called when the upstream ended the stream after `chunkCount` chunks. */
   readonly onFinished: (chunkCount: number, reason: string) => void;
-  /** The stream broke off, or never began. */
+  /** Called when the stream broke or could not be opened. */
   readonly onFailed: (failure: StreamFailure) => void;
 };
 
-/** What opens a stream. */
 type StreamOptions = {
   readonly agent: Agent;
   readonly address: string;
@@ -28,7 +27,7 @@
   readonly handlers: StreamHandlers;
 };
 
-/** The parts of an engine's event that matter here. */
+/** The fields of an engine's event that are read. */
 type EngineEvent = {
   readonly choices?: readonly {
     readonly delta?: { readonly content?: string | null };
@@ -37,12 +36,12 @@
   }[];
 };
 
-const END_MARK = "[DONE]";
-const MISSING_END_MARK = "the stream ended without its end mark";
+const END_EVENT_DATA = "[DONE]";
+const MISSING_END_MESSAGE = "the stream ended without the [DONE] event";
 
 /**
- * One streamed generation at an upstream. An answer counts as whole only when
- * the engine gave a finish reason and the end mark.
+ * One streamed generation at an upstream. A response is complete only if the
+ * engine sent a finish reason and the `[DONE]` event.
  */
 export class UpstreamStream {
   readonly #options: StreamOptions;
@@ -56,10 +55,10 @@
     void this.#run();
   }
 
-  /** Stops the generation; the handlers receive nothing more. */
+  /** Cancels the generation; no handler is called afterwards. */
   cancel(): void {
-    // An abort closes the connection, which a finished stream leaves for the
-    // next request.
+    // Aborting closes the connection. After a finished stream the connection
+    // stays open for reuse.
     if (!this.#isEnded) {
       this.#isEnded = true;
       this.#abort.abort();
@@ -71,11 +70,14 @@
       const response = await this.#open();
       if (response.statusCode !== 200) {
         this.#abort.abort();
-        this.#fail(`the upstream answered ${response.statusCode}`, false);
+        this.#fail(
+          `the upstream returned status ${response.statusCode}`,
+          false,
+        );
         return;
       }
       await this.#read(response.body);
-      this.#fail(MISSING_END_MARK, true);
+      this.#fail(MISSING_END_MESSAGE, true);
     } catch (error) {
       const { message, code = "" } = error as NodeJS.ErrnoException;
       const isConnected = !CONNECT_ERRORS.includes(code);
@@ -113,7 +115,7 @@
     if (this.#isEnded) {
       return;
     }
-    if (event.data === END_MARK) {
+    if (event.data === END_EVENT_DATA) {
       this.#finish();
       return;
     }
--- a/apps/heroncleatd/main.ts
+++ b/apps/heroncleatd/main.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * The daemon: reads its settings, starts its roles, stops gracefully.
+ * The daemon: reads the settings, starts the configured roles and shuts down
+ * gracefully.
  *
  * @module
  */
@@ -37,7 +38,7 @@
   --help           print this text
   --version        print the version
 
-SIGTERM and SIGINT stop the process gracefully; a second one ends it at once.
+SIGTERM and SIGINT stop the process gracefully; a second one exits at once.
 Exit codes: 0 stopped, 1 failed, 2 bad settings, 3 damaged data folder.
 `;
 
@@ -108,9 +109,9 @@
   }
   await server.listen();
   installSignals(async () => {
-    log.info("Stops");
+    log.info("Shutting down");
     const limit = checked.daemon.stop_time_limit;
-    // The entry goes first: it needs the control group to hand over.
+    // The entry stops first because its handover needs the control group.
     for (const role of running.toReversed()) {
       await role.stop(limit);
     }
@@ -120,10 +121,12 @@
     log.info("Stopped");
   });
   await Promise.all(running.map((role) => role.start()));
-  log.info(`Version ${VERSION} is up`, { roles: checked.daemon.roles });
+  log.info(`Running version ${VERSION}`, { roles: checked.daemon.roles });
 }
 
-/** On a VM with several addresses, peers see the one from the settings. */
+/**
+ * Source host of peer connections, so that peers see the configured address.
+ */
 function localHost(checked: Settings): string {
   const { host } = splitAddress(checked.daemon.peer_address);
   return host === ANY_HOST ? "" : host;
--- a/apps/heroncleatd/mod.ts
+++ b/apps/heroncleatd/mod.ts
@@ -1,5 +1,6 @@
 /**
- * The daemon's parts for programs that bring their own settings and names.
+ * Components of the daemon for programs that supply their own settings and
+ * header names.
  *
  * @module
  */
--- a/apps/heroncleatd/tests/callers_api_test.ts
+++ b/apps/heroncleatd/tests/callers_api_test.ts
@@ -17,7 +17,7 @@
   engine: { decodeInterval: 3 },
 });
 
-const chat = (content: string, max_tokens = 12) => ({
+const createChatBody = (content: string, max_tokens = 12) => ({
   model: "assistant",
   max_tokens,
   messages: [{ role: "user", content }],
@@ -26,7 +26,9 @@
 beforeAll(() => live.start());
 afterAll(() => live.stop());
 
-/** Sends raw bytes and returns all that comes back before the close. */
+/**
+ * Sends raw bytes and returns everything received until the connection closes.
+ */
 function sendRaw(bytes: string, options: { end?: boolean } = {}) {
   const { host, port } = splitAddress(live.callerAddresses[0]!);
   return new Promise<string>((resolve) => {
@@ -43,7 +45,7 @@
 }
 
 describe("the callers' API", () => {
-  test("reports which entries to use, the asked zone first, with a lifetime", async () => {
+  test("lists the entries with a lifetime, the requested zone first", async () => {
     const reply = await live.call(0, "/v1/entries?zone=zone-b");
     const { entries, lifetime } = JSON.parse(reply.body);
     expect(entries[0].zone).toBe("zone-b");
@@ -52,8 +54,8 @@
     expect(reply.headers["cache-control"]).toBe("max-age=10");
   });
 
-  test("streams an answer and gives it whole when not streamed", async () => {
-    const body = chat("A table for two by the window, please.");
+  test("returns the same response streamed and unstreamed", async () => {
+    const body = createChatBody("A table for two by the window, please.");
     const expected = expectedAnswer(body, "demo");
     const streamed = await followAnswer({
       entries: live.callerAddresses,
@@ -61,13 +63,13 @@
       body,
     });
     expect(streamed).toMatchObject({ status: 200, text: expected });
-    const whole = await live.call(1, "/v1/chat/completions", {
+    const unstreamed = await live.call(1, "/v1/chat/completions", {
       method: "POST",
       body: JSON.stringify(body),
     });
-    const answer = JSON.parse(whole.body);
-    expect(answer.choices[0].message.content).toBe(expected);
-    expect(answer.usage.completion_tokens).toBe(streamed.pieces);
+    const parsed = JSON.parse(unstreamed.body);
+    expect(parsed.choices[0].message.content).toBe(expected);
+    expect(parsed.usage.completion_tokens).toBe(streamed.pieces);
     const completion = { model: "assistant", prompt: "Dear", max_tokens: 5 };
     const text = await live.call(2, "/v1/completions", {
       method: "POST",
@@ -77,57 +79,57 @@
       .toBe(expectedAnswer(completion, "demo"));
   });
 
-  test("gives an answer again from any entry, from any piece on", async () => {
-    const body = chat("Fetch me again", 20);
+  test("returns a response again from any entry, starting at any chunk", async () => {
+    const body = createChatBody("Fetch me again", 20);
     const { requestId, text } = await followAnswer({
       entries: live.callerAddresses,
       key: live.callerKey,
       body,
     });
     const path = `/v1/requests/${encodeURIComponent(requestId)}`;
-    for (const place of [0, 1, 2]) {
-      const reply = await live.call(place, path, {
+    for (const entryIndex of [0, 1, 2]) {
+      const reply = await live.call(entryIndex, path, {
         headers: { "last-event-id": "3" },
       });
       const ids = [...reply.body.matchAll(/^id: (\d+)$/gm)].map((m) => m[1]);
       expect(ids[0]).toBe("4");
       expect(reply.body).toContain("[DONE]");
     }
-    const other = live.deployment.callerKeys["inn"]!;
-    const foreign = await live.call(0, path, {
-      headers: { authorization: `Bearer ${other}` },
+    const otherKey = live.deployment.callerKeys["inn"]!;
+    const foreignReply = await live.call(0, path, {
+      headers: { authorization: `Bearer ${otherKey}` },
     });
-    expect(foreign.status).toBe(404);
-    expect(foreign.body).not.toContain(text.slice(0, 10));
+    expect(foreignReply.status).toBe(404);
+    expect(foreignReply.body).not.toContain(text.slice(0, 10));
   });
 
-  test("gives a running answer to nobody else, at its own entry too", async () => {
+  test("denies other workspaces a running response, also at its owner", async () => {
     const response = await request(
       `http://${live.callerAddresses[0]}/v1/chat/completions`,
       {
         method: "POST",
         headers: { authorization: `Bearer ${live.callerKey}` },
         body: JSON.stringify({
-          ...chat("For my eyes only", 400),
+          ...createChatBody("For my eyes only", 400),
           stream: true,
         }),
       },
     );
     const id = String(response.headers["heroncleat-request"]);
-    const other = live.deployment.callerKeys["inn"]!;
-    const foreign = await live.call(
+    const otherKey = live.deployment.callerKeys["inn"]!;
+    const foreignReply = await live.call(
       0,
       `/v1/requests/${encodeURIComponent(id)}`,
       {
-        headers: { authorization: `Bearer ${other}` },
+        headers: { authorization: `Bearer ${otherKey}` },
       },
     );
     response.body.on("error", () => {});
     response.body.destroy();
-    expect(foreign.status).toBe(404);
+    expect(foreignReply.status).toBe(404);
   });
 
-  test("refuses unknown keys and changes nothing", async () => {
+  test("refuses requests with unknown keys without side effects", async () => {
     const missing = await live.call(0, "/v1/models", {
       headers: { authorization: "" },
     });
@@ -146,7 +148,7 @@
     expect((await live.callStandIn("booking-1")).runs).toHaveLength(0);
   });
 
-  test("answers malformed, oversized, slow and half-closed requests", async () => {
+  test("responds to malformed, oversized, slow and half-closed requests", async () => {
     const key = `authorization: Bearer ${live.callerKey}`;
     const head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n" + key;
     const oversized = await sendRaw(
@@ -156,17 +158,17 @@
     expect(oversized).toContain("Remedy: send a shorter one");
     const slow = await sendRaw(`${head}\r\ncontent-length: 50\r\n\r\n{`);
     expect(slow).toContain("408");
-    const half = await sendRaw(`${head}\r\ncontent-length: 50\r\n\r\n{`, {
+    const halfClosed = await sendRaw(`${head}\r\ncontent-length: 50\r\n\r\n{`, {
       end: true,
     });
-    expect(half).toMatch(/^HTTP\/1.1 400|^$/);
+    expect(halfClosed).toMatch(/^HTTP\/1.1 400|^$/);
     const garbage = await sendRaw("\x00\x01 nonsense\r\n\r\n");
     expect(garbage).toContain("400");
-    const good = await live.call(0, "/v1/models");
-    expect(good.status).toBe(200);
+    const valid = await live.call(0, "/v1/models");
+    expect(valid.status).toBe(200);
   });
 
-  test("answers any body with a clear error or an answer, never a crash", async () => {
+  test("responds to any body with an error or a completion, without crashing", async () => {
     const bodies = fc.oneof(
       fc.string(),
       fc.json(),
@@ -203,8 +205,8 @@
   });
 });
 
-describe("a call that may not run twice", () => {
-  test("runs once for all resends to all entries at once", async () => {
+describe("a non-idempotent call", () => {
+  test("runs once when it is sent to all entries concurrently", async () => {
     const replies = await Promise.all(
       Array.from(
         { length: 30 },
@@ -220,7 +222,7 @@
     expect(runs.filter((run) => run.key === "party-of-seven")).toHaveLength(1);
   });
 
-  test("is a conflict with another body, and not run", async () => {
+  test("is a conflict and not run when its key has another body", async () => {
     await live.bookTable(0, "window-table", '{"party":2}');
     const reply = await live.bookTable(1, "window-table", '{"party":9}');
     expect(reply.status).toBe(409);
@@ -230,7 +232,7 @@
   });
 
   test.each(["fail", "cut", "truncate", "refuse"])(
-    "runs at most once when the service's answer is %s",
+    "runs at most once when the service's behaviour is %s",
     async (behaviour) => {
       await live.callStandIn("booking-1", { behaviour });
       const first = await live.bookTable(0, `key-${behaviour}`);
@@ -238,17 +240,17 @@
       const again = await live.bookTable(1, `key-${behaviour}`);
       const { runs } = await live.callStandIn("booking-1");
       const count = runs.filter((run) => run.key === `key-${behaviour}`).length;
-      const refusedCleanly = behaviour === "refuse";
-      // The service itself said not run, so the resend may run it, once.
+      const isReportedNotRun = behaviour === "refuse";
+      // The service reported not run, so the repeated call may run once.
       expect(count).toBe(behaviour === "fail" ? 0 : 1);
       expect(first.headers["heroncleat-run"]).toBe(
-        refusedCleanly
+        isReportedNotRun
           ? "not-run"
           : behaviour === "fail"
           ? undefined
           : "unknown",
       );
-      if (!refusedCleanly) {
+      if (!isReportedNotRun) {
         expect(again.status).toBe(first.status);
       } else {
         expect(again.status).toBe(200);
--- a/apps/heroncleatd/tests/claims_test.ts
+++ b/apps/heroncleatd/tests/claims_test.ts
@@ -17,8 +17,8 @@
 
 const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** All runs at both services, by key. */
-async function runsByKey(): Promise<Map<string, number>> {
+/** Counts the runs at both services by key. */
+async function countRunsByKey(): Promise<Map<string, number>> {
   const counts = new Map<string, number>();
   for (const name of ["booking-1", "booking-2"]) {
     for (const { key } of (await live.callStandIn(name)).runs) {
@@ -28,12 +28,14 @@
   return counts;
 }
 
-/** Every key ran as often as its answers say, and never twice. */
-function expectHonest(
-  answers: ReadonlyMap<string, readonly { status: number; run: string }[]>,
+/**
+ * Checks that every key ran as often as its replies report, and at most once.
+ */
+function expectConsistentReplies(
+  repliesByKey: ReadonlyMap<string, readonly { status: number; run: string }[]>,
   runs: ReadonlyMap<string, number>,
 ): void {
-  for (const [key, replies] of answers) {
+  for (const [key, replies] of repliesByKey) {
     const count = runs.get(key) ?? 0;
     expect(count).toBeLessThanOrEqual(1);
     if (replies.some(({ status }) => status === 200)) {
@@ -44,61 +46,61 @@
   }
 }
 
-async function bookAll(
+async function bookAtAllEntries(
   prefix: string,
   options: { keys: number; disturb: () => Promise<void> },
 ) {
-  const answers = new Map<string, { status: number; run: string }[]>();
-  const disturbed = sleep(100).then(options.disturb);
+  const repliesByKey = new Map<string, { status: number; run: string }[]>();
+  const disturbance = sleep(100).then(options.disturb);
   const calls: Promise<void>[] = [];
   for (let n = 0; n < options.keys; n += 1) {
     const key = `${prefix}-${n}`;
     const replies: { status: number; run: string }[] = [];
-    answers.set(key, replies);
-    for (const place of [0, 1, 2]) {
+    repliesByKey.set(key, replies);
+    for (const index of [0, 1, 2]) {
       calls.push((async () => {
         await sleep(n * 15);
-        const reply = await live.bookTable(place, key).catch(() => undefined);
+        const reply = await live.bookTable(index, key).catch(() => undefined);
         const run = String(reply?.headers["heroncleat-run"] ?? "unknown");
         replies.push({ status: reply?.status ?? 0, run });
       })());
     }
   }
-  await Promise.all([...calls, disturbed]);
-  return answers;
+  await Promise.all([...calls, disturbance]);
+  return repliesByKey;
 }
 
-describe("keys sent to three entries at once", () => {
-  test("run once over the death of the control leader", async () => {
+describe("idempotency keys sent to three entries at once", () => {
+  test("run once when the control leader crashes", async () => {
     await live.waitUntilServing();
     const leader = await live.findLeader();
-    const answers = await bookAll("leader", {
+    const repliesByKey = await bookAtAllEntries("leader", {
       keys: 60,
       disturb: async () => live.processes.signal(leader, "SIGKILL"),
     });
     live.restart(leader);
-    expectHonest(answers, await runsByKey());
-    const served = [...answers.values()].filter((replies) =>
+    expectConsistentReplies(repliesByKey, await countRunsByKey());
+    const servedKeys = [...repliesByKey.values()].filter((replies) =>
       replies.some(({ status }) => status === 200)
     );
-    expect(served.length).toBeGreaterThan(50);
+    expect(servedKeys.length).toBeGreaterThan(50);
   });
 
-  test("run once over the death of an entry, and say what is known", async () => {
+  test("run once when an entry crashes, and report a consistent outcome", async () => {
     await live.waitUntilServing();
-    const answers = await bookAll("entry", {
+    const repliesByKey = await bookAtAllEntries("entry", {
       keys: 60,
       disturb: async () => live.processes.signal("entry-3", "SIGKILL"),
     });
-    expectHonest(answers, await runsByKey());
+    expectConsistentReplies(repliesByKey, await countRunsByKey());
     live.restart("entry-3");
   });
 
-  test("keep their outcome over snapshots and restarts of all replicas", async () => {
+  test("keep their outcome across snapshots and restarts of all replicas", async () => {
     await live.waitUntilServing();
     const first = await live.bookTable(0, "kept-outcome", '{"party":3}');
     expect(first.status).toBe(200);
-    await bookAll("filler", { keys: 40, disturb: async () => {} });
+    await bookAtAllEntries("filler", { keys: 40, disturb: async () => {} });
     for (const { name } of live.deployment.controls) {
       live.processes.signal(name, "SIGKILL");
       await live.processes.exitOf(name);
@@ -114,27 +116,27 @@
       },
     });
     expect(again.body).toBe(first.body);
-    expect((await runsByKey()).get("kept-outcome")).toBe(1);
+    expect((await countRunsByKey()).get("kept-outcome")).toBe(1);
   });
 
-  test("are unknown, not run again, when their entry dies after sending", async () => {
+  test("are unknown and not run again when their entry crashes after sending", async () => {
     await live.waitUntilServing();
     for (const name of ["booking-1", "booking-2"]) {
       await live.callStandIn(name, { behaviour: "stall" });
     }
-    const lost = live.bookTable(1, "stalled").catch(() => undefined);
+    const lostReply = live.bookTable(1, "stalled").catch(() => undefined);
     await waitFor("The run", {
       timeout: 5000,
-      check: async () => (await runsByKey()).get("stalled"),
+      check: async () => (await countRunsByKey()).get("stalled"),
     });
     live.processes.signal("entry-2", "SIGKILL");
-    await lost;
+    await lostReply;
     for (const name of ["booking-1", "booking-2"]) {
       await live.callStandIn(name, { behaviour: "normal" });
     }
-    // A refusal before the ledger is asked says only that this sending was
-    // not run; the ledger's word must be that the outcome is unknown.
-    const again = await waitFor("The ledger's word", {
+    // A refusal before the ledger is read covers only the repeated call; the
+    // ledger must report the first outcome as unknown.
+    const again = await waitFor("The outcome in the ledger", {
       timeout: 10_000,
       check: async () => {
         const reply = await live.bookTable(0, "stalled");
@@ -146,19 +148,22 @@
     expect(JSON.parse(again.body).error.kind).toMatch(
       /outcome_unknown|in_progress/,
     );
-    expect((await runsByKey()).get("stalled")).toBe(1);
+    expect((await countRunsByKey()).get("stalled")).toBe(1);
     live.restart("entry-2");
   });
 });
 
 describe("operators", () => {
-  const group = (name: string, state: "draining" | "serving"): Edit => ({
+  const createGroupEdit = (
+    name: string,
+    state: "draining" | "serving",
+  ): Edit => ({
     kind: "group_set",
     group: { name, labels: { place: name }, state, share: 50 },
   });
 
-  test("drain a place: nothing new goes there within 2 s", async () => {
-    const ask = (n: number) =>
+  test("drain a group, which gets no new requests after 2 s", async () => {
+    const sendChat = (n: number) =>
       live.call(n % 3, "/v1/chat/completions", {
         method: "POST",
         body: JSON.stringify({
@@ -168,22 +173,28 @@
         }),
       });
     await live.waitUntilServing();
-    await live.applyEdits([group("old", "draining")], "drain-the-old-place");
+    await live.applyEdits(
+      [createGroupEdit("old", "draining")],
+      "drain-the-old-place",
+    );
     await sleep(2000);
     const before = await live.callStandIn("engine-2");
     const replies = await Promise.all(
-      Array.from({ length: 30 }, (_, n) => ask(n)),
+      Array.from({ length: 30 }, (_, n) => sendChat(n)),
     );
     expect(replies.map(({ status }) => status)).toEqual(
       replies.map(() => 200),
     );
     const after = await live.callStandIn("engine-2");
     expect(after.counts["requests"]).toBe(before.counts["requests"]);
-    await live.applyEdits([group("old", "serving")], "fill-the-old-place");
+    await live.applyEdits(
+      [createGroupEdit("old", "serving")],
+      "fill-the-old-place",
+    );
   });
 
-  test("order upstreams through the outbox, over a leader's death", async () => {
-    const order = (upstream: string, value: string): Edit => ({
+  test("send orders to upstreams in fencing order when the leader crashes", async () => {
+    const createOrderEdit = (upstream: string, value: string): Edit => ({
       kind: "order_requested",
       upstream,
       order: { action: "load_model", value },
@@ -191,11 +202,17 @@
     await live.waitUntilServing();
     const leader = await live.findLeader();
     await live.applyEdits(
-      [order("engine-1", "menu"), order("engine-2", "menu")],
+      [
+        createOrderEdit("engine-1", "menu"),
+        createOrderEdit("engine-2", "menu"),
+      ],
       "order-menu-adapter",
     );
     live.processes.signal(leader, "SIGKILL");
-    await live.applyEdits([order("engine-2", "wine")], "order-wine-adapter");
+    await live.applyEdits(
+      [createOrderEdit("engine-2", "wine")],
+      "order-wine-adapter",
+    );
     await waitFor("Both models at both kinds of upstream", {
       timeout: 15_000,
       check: async () => {
@@ -213,19 +230,19 @@
     live.restart(leader);
   });
 
-  test("stop entry and control at once under load, and cut nothing", async () => {
+  test("stop an entry and a control replica under load without failed requests", async () => {
     await waitFor("All replicas", {
       timeout: 10_000,
       check: async () => {
         const views = await Promise.all(
-          [0, 1, 2].map((place) =>
-            live.callOperatorApi(place, "configuration")
+          [0, 1, 2].map((index) =>
+            live.callOperatorApi(index, "configuration")
           ),
         );
         return views.every(({ status }) => status === 200) || undefined;
       },
     });
-    const slow = live.call(0, "/v1/chat/completions", {
+    const slowReply = live.call(0, "/v1/chat/completions", {
       method: "POST",
       body: JSON.stringify({
         model: "assistant",
@@ -236,14 +253,14 @@
     await sleep(100);
     live.processes.signal("entry-1", "SIGTERM");
     live.processes.signal("control-1", "SIGTERM");
-    expect((await slow).status).toBe(200);
+    expect((await slowReply).status).toBe(200);
     expect(await live.processes.exitOf("entry-1")).toBe(0);
     expect(await live.processes.exitOf("control-1")).toBe(0);
     const reply = await live.bookTable(1, "after-two-stops");
     expect(reply.status).toBe(200);
   });
 
-  test("end a process at once with a second SIGTERM", async () => {
+  test("stop a process immediately with a second SIGTERM", async () => {
     const stream = live.call(1, "/v1/chat/completions", {
       method: "POST",
       body: JSON.stringify({
--- a/apps/heroncleatd/tests/control_test.ts
+++ b/apps/heroncleatd/tests/control_test.ts
@@ -33,21 +33,21 @@
   }
 });
 
-function groupEdit(share: number): Edit {
+function createGroupEdit(share: number): Edit {
   return {
     kind: "group_set",
     group: { name: "new", labels: { place: "new" }, state: "serving", share },
   };
 }
 
-/** Cuts one process off from all others, both ways. */
+/** Partitions one process from all others in both directions. */
 function isolate(name: string): void {
   const peers = [...controls, ...entries];
-  const place = peers.findIndex((peer) => peer.name === name);
-  const own = splitAddress(peers[place]!.peerAddress).host;
-  for (const [index, relay] of relays.entries()) {
-    if (index !== place) {
-      relay.cut(own);
+  const index = peers.findIndex((peer) => peer.name === name);
+  const ownHost = splitAddress(peers[index]!.peerAddress).host;
+  for (const [relayIndex, relay] of relays.entries()) {
+    if (relayIndex !== index) {
+      relay.cut(ownHost);
       continue;
     }
     for (const peer of peers) {
@@ -62,25 +62,28 @@
   }
 }
 
-function placeOf(name: string): number {
+function indexOfControl(name: string): number {
   return controls.findIndex((control) => control.name === name);
 }
 
-/** Revisions in force at all entries. */
-async function revisions(place: number): Promise<number[]> {
-  const { value } = await live.callOperatorApi(place, "status");
+/** Reads the active revisions of the live entries. */
+async function readRevisions(index: number): Promise<number[]> {
+  const { value } = await live.callOperatorApi(index, "status");
   const found = value["entries"] as { revision: number; state: string }[];
   return found.filter(({ state }) => state === "alive").map(({ revision }) =>
     revision
   );
 }
 
-async function inForceAt(place: number, revision: number): Promise<number> {
+async function waitForRevision(
+  index: number,
+  revision: number,
+): Promise<number> {
   const startedAt = Date.now();
   await waitFor(`Revision ${revision} at all entries`, {
     timeout: 10_000,
     check: async () => {
-      const found = await revisions(place);
+      const found = await readRevisions(index);
       const all = found.length === entries.length &&
         found.every((known) => known >= revision);
       return all || undefined;
@@ -90,32 +93,32 @@
 }
 
 let changes = 0;
-function nextId(): string {
+function createChangeId(): string {
   changes += 1;
   return `change-${String(changes).padStart(6, "0")}`;
 }
 
 describe("the control group", () => {
-  test("gives racing operators one winner and one clear conflict", async () => {
+  test("commits one of several concurrent changes and reports conflicts for the others", async () => {
     const { revision } = await live.readConfiguration();
     const replies = await Promise.all(
-      [0, 1, 2].map((place) =>
-        live.callOperatorApi(place, "changes", {
-          id: nextId(),
+      [0, 1, 2].map((index) =>
+        live.callOperatorApi(index, "changes", {
+          id: createChangeId(),
           expectedRevision: revision,
-          edits: [groupEdit(10 + place)],
+          edits: [createGroupEdit(10 + index)],
         })
       ),
     );
     expect(replies.map(({ status }) => status).sort()).toEqual([200, 409, 409]);
   });
 
-  test("gives a resent change its first result, at another replica", async () => {
+  test("returns the first result of a repeated change, also at another replica", async () => {
     const { revision } = await live.readConfiguration();
     const change = {
-      id: nextId(),
+      id: createChangeId(),
       expectedRevision: revision,
-      edits: [groupEdit(33)],
+      edits: [createGroupEdit(33)],
     };
     const first = await live.callOperatorApi(0, "changes", change);
     const again = await live.callOperatorApi(1, "changes", change);
@@ -123,60 +126,65 @@
     expect((await live.readConfiguration(2)).revision).toBe(revision + 1);
   });
 
-  test("commits again soon after its leader's death", async () => {
+  test("commits again after its leader crashes", async () => {
     const leader = await live.findLeader();
     live.processes.signal(leader, "SIGKILL");
     const startedAt = Date.now();
     const others = controls.filter(({ name }) => name !== leader);
-    const place = placeOf(others[0]!.name);
+    const index = indexOfControl(others[0]!.name);
     const { value } = await waitFor("The next commit", {
       timeout: 10_000,
       check: async () => {
-        const view = await live.readConfiguration(place);
-        const reply = await live.callOperatorApi(place, "changes", {
-          id: nextId(),
+        const view = await live.readConfiguration(index);
+        const reply = await live.callOperatorApi(index, "changes", {
+          id: createChangeId(),
           expectedRevision: view.revision,
-          edits: [groupEdit(50)],
+          edits: [createGroupEdit(50)],
         });
         return reply.status === 200 ? reply : undefined;
       },
     });
-    // npm run bench measures this; here it only must not take for ever.
+    // Only a loose bound; `npm run bench` measures the duration.
     expect(Date.now() - startedAt).toBeLessThan(4000);
     live.restart(leader);
-    await inForceAt(place, value["revision"] as number);
+    await waitForRevision(index, value["revision"] as number);
   });
 
-  test("puts changes in force everywhere with one replica isolated", async () => {
+  test("activates changes at all entries while one replica is isolated", async () => {
     const leader = await live.findLeader();
     isolate(leader);
-    const place = placeOf(controls.find(({ name }) => name !== leader)!.name);
+    const index = indexOfControl(
+      controls.find(({ name }) => name !== leader)!.name,
+    );
     const before = await waitFor("A view from the others", {
       timeout: 5000,
       check: async () => {
         const { status, value } = await live.callOperatorApi(
-          place,
+          index,
           "configuration",
         );
         return status === 200 ? value["revision"] as number : undefined;
       },
     });
-    const reply = await live.callOperatorApi(place, "changes", {
-      id: nextId(),
+    const reply = await live.callOperatorApi(index, "changes", {
+      id: createChangeId(),
       expectedRevision: before,
-      edits: [groupEdit(60)],
+      edits: [createGroupEdit(60)],
     });
     expect(reply.status).toBe(200);
-    expect(await inForceAt(place, before + 1)).toBeLessThan(4000);
-    // The isolated leader neither accepts nor answers from its old state.
-    const stale = await live.callOperatorApi(placeOf(leader), "configuration");
+    expect(await waitForRevision(index, before + 1)).toBeLessThan(4000);
+    // The isolated leader doesn't serve its outdated state.
+    const stale = await live.callOperatorApi(
+      indexOfControl(leader),
+      "configuration",
+    );
     expect(stale.status).toBe(503);
     heal();
-    await waitFor("The isolated replica to follow", {
+    await waitFor("The isolated replica to catch up", {
       timeout: 10_000,
       check: async () => {
         const { status, value } = await live.callOperatorApi(
-          placeOf(leader),
+          indexOfControl(leader),
           "configuration",
         );
         return status === 200 && value["revision"] === before + 1 || undefined;
@@ -184,9 +192,9 @@
     });
   });
 
-  test("lets an entry cut off from it refuse new work as not run", async () => {
+  test("makes an isolated entry refuse new requests as not run", async () => {
     isolate("entry-2");
-    await waitFor("The lease to end", {
+    await waitFor("The lease to expire", {
       timeout: 6000,
       check: async () => {
         const reply = await live.call(1, "/services/booking/confirm", {
@@ -202,35 +210,35 @@
     expect(refused.headers["heroncleat-run"]).toBe("not-run");
     expect((await live.callStandIn("booking-1")).runs).toHaveLength(before);
     heal();
-    await waitFor("The lease to return", {
+    await waitFor("The lease to be renewed", {
       timeout: 10_000,
       check: async () =>
         (await live.bookTable(1, "cut-off")).status === 200 || undefined,
     });
   });
 
-  test("brings back a replica that missed 500 changes", async () => {
+  test("catches up a replica that missed 500 changes", async () => {
     const leader = await live.findLeader();
-    const late = controls.find(({ name }) => name !== leader)!;
-    live.processes.signal(late.name, "SIGKILL");
-    const place = placeOf(leader);
-    let { revision } = await live.readConfiguration(place);
+    const lateReplica = controls.find(({ name }) => name !== leader)!;
+    live.processes.signal(lateReplica.name, "SIGKILL");
+    const index = indexOfControl(leader);
+    let { revision } = await live.readConfiguration(index);
     for (let count = 0; count < 500; count += 1) {
-      const reply = await live.callOperatorApi(place, "changes", {
-        id: nextId(),
+      const reply = await live.callOperatorApi(index, "changes", {
+        id: createChangeId(),
         expectedRevision: revision,
-        edits: [groupEdit(count % 100)],
+        edits: [createGroupEdit(count % 100)],
       });
       expect(reply.status).toBe(200);
       revision += 1;
     }
-    live.restart(late.name);
+    live.restart(lateReplica.name);
     const startedAt = Date.now();
     await waitFor("The late replica to serve", {
       timeout: 10_000,
       check: async () => {
         const { status, value } = await live.callOperatorApi(
-          placeOf(late.name),
+          indexOfControl(lateReplica.name),
           "configuration",
         );
         return status === 200 && value["revision"] === revision || undefined;
@@ -239,7 +247,7 @@
     expect(Date.now() - startedAt).toBeLessThan(5000);
   });
 
-  test("takes back a replica with a lost disk, and survives a second loss", async () => {
+  test("readmits a replica that lost its disk, and then tolerates another crash", async () => {
     const leader = await live.findLeader();
     const [lost, other] = controls.filter(({ name }) => name !== leader);
     live.processes.signal(lost!.name, "SIGKILL");
@@ -249,7 +257,10 @@
     await waitFor("The lost replica to vote again", {
       timeout: 20_000,
       check: async () => {
-        const { value } = await live.callOperatorApi(placeOf(leader), "status");
+        const { value } = await live.callOperatorApi(
+          indexOfControl(leader),
+          "status",
+        );
         const replicas = value["replicas"] as {
           name: string;
           id: string;
@@ -257,19 +268,19 @@
         }[];
         const members = replicas.find(({ name }) => name === leader)?.members ??
           [];
-        const fresh = replicas.find(({ name }) => name === lost!.name)?.id;
-        const repaired = members.length === 3 &&
+        const newId = replicas.find(({ name }) => name === lost!.name)?.id;
+        const isRepaired = members.length === 3 &&
           members.every(({ voter }) => voter) &&
-          members.some(({ id }) => id === fresh);
-        return repaired || undefined;
+          members.some(({ id }) => id === newId);
+        return isRepaired || undefined;
       },
     });
     live.processes.signal(other!.name, "SIGKILL");
-    await live.applyEdits([groupEdit(77)], nextId());
+    await live.applyEdits([createGroupEdit(77)], createChangeId());
     live.restart(other!.name);
   });
 
-  test("refuses to start on a journal that is damaged in the middle", async () => {
+  test("refuses to start with a journal that is damaged in the middle", async () => {
     const leader = await live.findLeader();
     const victim = controls.find(({ name }) => name !== leader)!;
     live.processes.signal(victim.name, "SIGKILL");
@@ -292,10 +303,13 @@
     expect(log).toContain("Remedy: move the data folder away");
     rmSync(victim.dataFolder, { recursive: true });
     live.restart(victim.name);
-    await waitFor("The replica with an empty folder to follow", {
+    await waitFor("The replica with an empty folder to catch up", {
       timeout: 20_000,
       check: async () =>
-        (await live.callOperatorApi(placeOf(victim.name), "configuration"))
+        (await live.callOperatorApi(
+            indexOfControl(victim.name),
+            "configuration",
+          ))
             .status ===
           200 || undefined,
     });
--- a/apps/heroncleatd/tests/crash_test.ts
+++ b/apps/heroncleatd/tests/crash_test.ts
@@ -1,12 +1,12 @@
 import { LiveDeployment } from "./live_deployment.ts";
 
-const CRASHING = "end the process";
+const CRASHING_BODY = "end the process";
 const UPSTREAMS = 8;
-const DOWNTIME = 1000;
+const DOWNTIME_MS = 1000;
 const REPEATS = 25;
-const PAUSE = 250;
-/** Ends that are borne, and sends borne until all entries know of them. */
-const MOST_ENDS = 6;
+const PAUSE_MS = 250;
+/** Crashes tolerated until all entries reject the request. */
+const MAX_CRASHES = 6;
 
 const live = new LiveDeployment({
   firstPort: 24_000,
@@ -18,24 +18,24 @@
   upstream: (settings) => ({
     ...settings,
     announceInterval: 200,
-    crashOn: CRASHING,
+    crashOn: CRASHING_BODY,
   }),
 });
 
-let ends = 0;
-let isOver = false;
-const keepers: Promise<void>[] = [];
+let crashes = 0;
+let isStopping = false;
+const restartLoops: Promise<void>[] = [];
 
 const sleep = (time: number) =>
   new Promise((resolve) => setTimeout(resolve, time));
 
-/** Starts an upstream again whenever it has ended. */
-async function keepUp(name: string): Promise<void> {
-  while (!isOver) {
+/** Restarts an upstream after each crash. */
+async function restartAfterCrashes(name: string): Promise<void> {
+  while (!isStopping) {
     await live.processes.exitOf(name);
-    ends += isOver ? 0 : 1;
-    await sleep(DOWNTIME);
-    if (!isOver) {
+    crashes += isStopping ? 0 : 1;
+    await sleep(DOWNTIME_MS);
+    if (!isStopping) {
       live.restart(name);
     }
   }
@@ -45,28 +45,27 @@
   await live.start();
   await live.waitUntilServing();
   for (const { name } of live.deployment.upstreams) {
-    keepers.push(keepUp(name));
+    restartLoops.push(restartAfterCrashes(name));
   }
 });
 
 afterAll(async () => {
-  isOver = true;
+  isStopping = true;
   live.stop();
-  await Promise.all(keepers);
+  await Promise.all(restartLoops);
 });
 
 beforeEach(() => {
-  ends = 0;
+  crashes = 0;
 });
 
-// A caller sent one request to one entry after the other, and each upstream
-// that began to run it ended: each entry knew of the ends under its own sendings
-// only, and forgot them with the answer.
+// Guards against entries that count only their own attempts, so that a caller
+// could crash one upstream after the other by rotating between entries.
 test.each([
-  ["a call that may be repeated", "PUT", "/services/booking/confirm", 1000],
-  ["a call that runs once", "POST", "/services/booking/confirm", 1000],
+  ["an idempotent call", "PUT", "/services/booking/confirm", 1000],
+  ["a non-idempotent call", "POST", "/services/booking/confirm", 1000],
   ["a generation", "POST", "/v1/chat/completions", 3000],
-])("%s that ends upstreams is rejected at all entries", async (
+])("%s that crashes upstreams is rejected at all entries", async (
   _,
   method,
   path,
@@ -77,12 +76,12 @@
       model: "assistant",
       stream: true,
       max_tokens: 50,
-      messages: [{ role: "user", content: `${CRASHING} by ${method}` }],
+      messages: [{ role: "user", content: `${CRASHING_BODY} by ${method}` }],
     })
-    : `${CRASHING} by ${method}`;
+    : `${CRASHING_BODY} by ${method}`;
   const statuses: number[] = [];
   for (let call = 0; call < REPEATS; call += 1) {
-    const answer = await live.call(call % live.callerAddresses.length, path, {
+    const reply = await live.call(call % live.callerAddresses.length, path, {
       method,
       headers: {
         "content-type": "application/json",
@@ -90,13 +89,13 @@
       },
       body,
     });
-    statuses.push(answer.status);
-    await sleep(PAUSE);
+    statuses.push(reply.status);
+    await sleep(PAUSE_MS);
   }
   expect(statuses.slice(-3)).toEqual([400, 400, 400]);
-  expect(ends).toBeGreaterThanOrEqual(3);
-  expect(ends).toBeLessThanOrEqual(MOST_ENDS);
-  // Others are served by then.
+  expect(crashes).toBeGreaterThanOrEqual(3);
+  expect(crashes).toBeLessThanOrEqual(MAX_CRASHES);
+  // Other requests are still served.
   const other = await live.call(0, "/services/booking/confirm", {
     method: "PUT",
     body: "four at seven",
--- a/apps/heroncleatd/tests/live_deployment.ts
+++ b/apps/heroncleatd/tests/live_deployment.ts
@@ -17,8 +17,7 @@
   standIn: "packages/stand_ins/dist/main.js",
 };
 
-/** What a test's HTTP call answered. */
-type Answer = {
+type HttpReply = {
   readonly status: number;
   readonly headers: Record<string, string | string[] | undefined>;
   readonly body: string;
@@ -43,7 +42,7 @@
     rmSync(this.deployment.folder, { recursive: true, force: true });
   }
 
-  /** Starts a process of the deployment again. */
+  /** Restarts a process of the deployment. */
   restart(name: string): void {
     const { controls, entries, upstreams } = this.deployment;
     const peer = [...controls, ...entries].find((known) => known.name === name);
@@ -69,19 +68,19 @@
     return Object.values(this.deployment.callerKeys)[0]!;
   }
 
-  /** Waits until every replica and every entry serves. */
+  /** Waits until every control replica and every entry serves requests. */
   async waitUntilServing(): Promise<void> {
     await waitFor("All replicas and entries", {
       timeout: 20_000,
       check: async () => {
         const views = await Promise.all(
-          [...this.deployment.controls.keys()].map((place) =>
-            this.callOperatorApi(place, "configuration")
+          [...this.deployment.controls.keys()].map((index) =>
+            this.callOperatorApi(index, "configuration")
           ),
         );
         const healths = await Promise.all(
-          [...this.callerAddresses.keys()].map((place) =>
-            this.call(place, "/v1/health")
+          [...this.callerAddresses.keys()].map((index) =>
+            this.call(index, "/v1/health")
           ),
         );
         const all = [...views, ...healths];
@@ -92,7 +91,7 @@
 
   /** Calls an entry with the caller's key. */
   async call(
-    place: number,
+    index: number,
     path: string,
     options: {
       method?: string;
@@ -100,9 +99,9 @@
       body?: string;
       timeout?: number;
     } = {},
-  ): Promise<Answer> {
+  ): Promise<HttpReply> {
     const response = await request(
-      `http://${this.callerAddresses[place]}${path}`,
+      `http://${this.callerAddresses[index]}${path}`,
       {
         method: (options.method ?? "GET") as "GET",
         headers: {
@@ -117,22 +116,22 @@
     return { status: response.statusCode, headers: response.headers, body };
   }
 
-  /** Books a table: a call that may not run twice. */
-  bookTable(place: number, key: string, body = "{}"): Promise<Answer> {
-    return this.call(place, "/services/booking/confirm", {
+  /** Sends a non-idempotent call to the booking service. */
+  bookTable(index: number, key: string, body = "{}"): Promise<HttpReply> {
+    return this.call(index, "/services/booking/confirm", {
       method: "POST",
       headers: { "idempotency-key": key, "heroncleat-deadline": "6000" },
       body,
     });
   }
 
-  /** Asks the operator API of one replica. */
+  /** Calls the operator API of one control replica. */
   async callOperatorApi(
-    place: number,
+    index: number,
     path: string,
     body?: unknown,
   ): Promise<{ status: number; value: Record<string, unknown> }> {
-    const control = this.deployment.controls[place]!;
+    const control = this.deployment.controls[index]!;
     const response = await request(
       `http://${control.operatorAddress}/v1/operator/${path}`,
       {
@@ -149,18 +148,20 @@
     return { status: response.statusCode, value };
   }
 
-  async readConfiguration(place = 0): Promise<ConfigurationView> {
-    const { value } = await this.callOperatorApi(place, "configuration");
+  async readConfiguration(index = 0): Promise<ConfigurationView> {
+    const { value } = await this.callOperatorApi(index, "configuration");
     return value as unknown as ConfigurationView;
   }
 
-  /** Changes the configuration at its present revision, until it is taken. */
+  /**
+   * Applies edits at the current revision, retrying until they are committed.
+   */
   async applyEdits(edits: Edit[], id: string): Promise<number> {
     return await waitFor("A change", {
       timeout: 10_000,
       check: async () => {
-        for (const place of this.deployment.controls.keys()) {
-          const revision = await this.#tryChange(place, { edits, id })
+        for (const index of this.deployment.controls.keys()) {
+          const revision = await this.#tryChange(index, { edits, id })
             .catch(() => undefined);
           if (revision !== undefined) {
             return revision;
@@ -172,18 +173,18 @@
   }
 
   async #tryChange(
-    place: number,
+    index: number,
     options: { edits: Edit[]; id: string },
   ): Promise<number | undefined> {
-    const { revision } = await this.readConfiguration(place);
-    const reply = await this.callOperatorApi(place, "changes", {
+    const { revision } = await this.readConfiguration(index);
+    const reply = await this.callOperatorApi(index, "changes", {
       ...options,
       expectedRevision: revision,
     });
     return reply.status === 200 ? reply.value["revision"] as number : undefined;
   }
 
-  /** Steers or questions a stand-in upstream. */
+  /** Configures a stand-in upstream, or reads its records. */
   async callStandIn(
     name: string,
     order?: Record<string, unknown>,
@@ -202,13 +203,13 @@
     return await response.body.json() as never;
   }
 
-  /** Name of the replica that leads. */
+  /** Returns the name of the leading control replica. */
   async findLeader(): Promise<string> {
     return await waitFor("A leader", {
       timeout: 10_000,
       check: async () => {
-        for (const place of this.deployment.controls.keys()) {
-          const reply = await this.callOperatorApi(place, "status")
+        for (const index of this.deployment.controls.keys()) {
+          const reply = await this.callOperatorApi(index, "status")
             .catch(() => undefined);
           const replicas = (reply?.value["replicas"] ?? []) as {
             name: string;
--- a/apps/heroncleatd/tests/loss_test.ts
+++ b/apps/heroncleatd/tests/loss_test.ts
@@ -11,19 +11,19 @@
   services: 1,
   entrySettings: { upstream_lease: 1500 },
   engine: { decodeInterval: 15, slots: 64 },
-  // Every engine would write another text, so a restart would show.
-  upstream: (settings, place) => ({
+  // Each engine generates a different text, so a restarted generation shows.
+  upstream: (settings, index) => ({
     ...settings,
     announceInterval: 200,
-    engine: { ...settings.engine, salt: `salt-${place}` },
+    engine: { ...settings.engine, salt: `salt-${index}` },
   }),
 });
 
-/** Entry 4 gets too little time to finish its streams when it stops. */
-const hurried = live.deployment.entries[3]!;
-const settings = readFileSync(hurried.settingsFile, "utf8");
+/** Entry whose shutdown time limit is too short to finish its streams. */
+const shortLimitEntry = live.deployment.entries[3]!;
+const settings = readFileSync(shortLimitEntry.settingsFile, "utf8");
 writeFileSync(
-  hurried.settingsFile,
+  shortLimitEntry.settingsFile,
   settings.replace("[daemon]", "[daemon]\nstop_time_limit = 3000"),
 );
 
@@ -32,7 +32,7 @@
 
 const TOKENS = 120;
 
-/** Starts streams at all entries and collects their answers. */
+/** Starts streams at all entries. */
 function startStreams(
   count: number,
   from = 0,
@@ -52,7 +52,7 @@
       timeout: 30_000,
       onAccepted,
     });
-    // One that is refused is never accepted; its answer reports.
+    // A refused request is never accepted; its response settles the race.
     accepted.push(Promise.race([isAccepted, answer]));
     return answer;
   });
@@ -64,10 +64,13 @@
   return [...items.slice(start), ...items.slice(0, start)];
 }
 
-/** Whole answers, each token once, and equal to what is held for it. */
-async function expectWhole(
+/**
+ * Checks that responses are complete, without duplicates, and equal to the
+ * stored one.
+ */
+async function expectComplete(
   answers: Awaited<ReturnType<typeof followAnswer>>[],
-  place = 3,
+  index = 3,
 ): Promise<void> {
   for (const answer of answers) {
     expect(answer).toMatchObject({
@@ -82,8 +85,8 @@
   }
   const sample = answers[0]!;
   const path = `/v1/requests/${encodeURIComponent(sample.requestId)}`;
-  const held = await live.call(place, path);
-  const texts = [...held.body.matchAll(/"content":"([^"]*)"/g)].map((m) =>
+  const heldReply = await live.call(index, path);
+  const texts = [...heldReply.body.matchAll(/"content":"([^"]*)"/g)].map((m) =>
     m[1]
   );
   expect(texts.join("")).toBe(sample.text);
@@ -98,31 +101,33 @@
     const before = await live.callStandIn("engine-2");
     await live.callStandIn("engine-2", { leaveIn: 2000 });
     await sleep(300);
-    const reported = await live.callStandIn("engine-2");
+    const afterNotice = await live.callStandIn("engine-2");
     await sleep(1700);
-    const last = await live.callStandIn("engine-2");
+    const beforeReclaim = await live.callStandIn("engine-2");
     live.processes.signal("engine-2", "SIGKILL");
-    await expectWhole(await Promise.all(streams));
+    await expectComplete(await Promise.all(streams));
     expect(before.counts["requests"]).toBeGreaterThan(0);
-    // Nothing new was sent there from 0.3 s after the notice on.
-    expect(last.counts["requests"]).toBe(reported.counts["requests"]);
+    // No new requests are sent to the upstream 0.3 s after the notice.
+    expect(beforeReclaim.counts["requests"]).toBe(
+      afterNotice.counts["requests"],
+    );
   });
 
-  test("survive an upstream that dies without a word", async () => {
+  test("survive an upstream crash without notice", async () => {
     const { answers: streams, accepted } = startStreams(30, 100);
     await accepted;
     await sleep(200);
     live.processes.signal("engine-3", "SIGKILL");
-    await expectWhole(await Promise.all(streams));
+    await expectComplete(await Promise.all(streams));
   });
 
-  test("survive their owner's sudden death, with the text seen so far", async () => {
+  test("survive a crash of their owner without losing or repeating text", async () => {
     const { answers: streams, accepted } = startStreams(32, 200);
     await accepted;
     await sleep(200);
     live.processes.signal("entry-2", "SIGKILL");
     const answers = await Promise.all(streams);
-    await expectWhole(answers);
+    await expectComplete(answers);
     expect(answers.some((answer) => answer.reconnects > 0)).toBe(true);
     live.restart("entry-2");
     await waitFor("The return of entry-2", {
@@ -132,17 +137,17 @@
     });
   });
 
-  test("survive a frozen owner that wakes after a takeover", async () => {
+  test("survive a suspended owner that resumes after a takeover", async () => {
     const { answers: streams, accepted } = startStreams(24, 300);
     await accepted;
     await sleep(200);
     live.processes.signal("entry-3", "SIGSTOP");
     await sleep(5000);
     live.processes.signal("entry-3", "SIGCONT");
-    await expectWhole(await Promise.all(streams));
+    await expectComplete(await Promise.all(streams));
   });
 
-  test("are cut by no planned stop", async () => {
+  test("are not interrupted by a planned shutdown", async () => {
     const { answers: streams, accepted } = startStreams(24, 400);
     await accepted;
     await sleep(200);
@@ -156,20 +161,20 @@
     });
     expect(listed).not.toContain(live.callerAddresses[0]);
     const answers = await Promise.all(streams);
-    await expectWhole(answers);
+    await expectComplete(answers);
     expect(answers.map((answer) => answer.reconnects)).toEqual(
       answers.map(() => 0),
     );
     expect(await live.processes.exitOf("entry-1")).toBe(0);
   });
 
-  test("are handed over when a planned stop has no time to finish", async () => {
+  test("are handed over when a shutdown reaches its time limit", async () => {
     const { answers: streams } = startStreams(16, 500);
     await sleep(400);
     live.processes.signal("entry-4", "SIGTERM");
     const answers = await Promise.all(streams);
     const accepted = answers.filter((answer) => answer.requestId !== "");
-    await expectWhole(accepted, 1);
+    await expectComplete(accepted, 1);
     expect(accepted.some((answer) => answer.reconnects > 0)).toBe(true);
     expect(await live.processes.exitOf("entry-4")).toBe(0);
   });
--- a/apps/heroncleatd/tests/restart_test.ts
+++ b/apps/heroncleatd/tests/restart_test.ts
@@ -15,9 +15,9 @@
 const RESTARTS = 6;
 
 describe("a restarted entry", () => {
-  test("says that it is ready only once it serves", async () => {
+  test("reports healthy only once it serves requests", async () => {
     const statuses: number[] = [];
-    for (let turn = 0; turn < RESTARTS; turn += 1) {
+    for (let round = 0; round < RESTARTS; round += 1) {
       live.processes.signal("entry-2", "SIGKILL");
       await live.processes.exitOf("entry-2");
       live.restart("entry-2");
@@ -36,7 +36,7 @@
         body: {
           model: "assistant",
           max_tokens: 2,
-          messages: [{ role: "user", content: `Letter ${turn}` }],
+          messages: [{ role: "user", content: `Letter ${round}` }],
         },
         timeout: 5000,
       });
--- a/apps/heroncleatd/tests/wave_test.ts
+++ b/apps/heroncleatd/tests/wave_test.ts
@@ -5,9 +5,9 @@
 import { LiveDeployment } from "./live_deployment.ts";
 
 const REQUESTS = 1000;
-const AT_ONCE = 120;
+const CONCURRENT_CALLERS = 120;
 const TOKENS = 40;
-const NOTICE = 1000;
+const NOTICE_MS = 1000;
 
 const live = new LiveDeployment({
   firstPort: 23_000,
@@ -29,16 +29,18 @@
 
 const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Reclaims whole zones in turn, and lets them come back. */
-async function runWaves(isOver: () => boolean): Promise<number> {
+/**
+ * Reclaims and restarts one zone after the other. Returns the number of rounds.
+ */
+async function runWaves(isDone: () => boolean): Promise<number> {
   let waves = 0;
-  while (!isOver()) {
+  while (!isDone()) {
     const zone = waves % 4 + 1;
     const names = [`engine-${zone}`, `engine-${zone + 4}`];
     await Promise.all(
-      names.map((name) => live.callStandIn(name, { leaveIn: NOTICE })),
+      names.map((name) => live.callStandIn(name, { leaveIn: NOTICE_MS })),
     );
-    await sleep(NOTICE);
+    await sleep(NOTICE_MS);
     for (const name of names) {
       live.processes.signal(name, "SIGKILL");
       await live.processes.exitOf(name);
@@ -53,13 +55,13 @@
   return waves;
 }
 
-describe("a thousand requests through waves that take zones", () => {
-  test("are all answered whole", async () => {
+describe("a thousand requests while whole zones are reclaimed", () => {
+  test("get complete responses", async () => {
     const answers: FollowedAnswer[] = [];
     let next = 0;
-    let running = AT_ONCE;
+    let running = CONCURRENT_CALLERS;
     const waves = runWaves(() => running === 0);
-    const callers = Array.from({ length: AT_ONCE }, async () => {
+    const callers = Array.from({ length: CONCURRENT_CALLERS }, async () => {
       while (next < REQUESTS) {
         const n = next;
         next += 1;
@@ -84,12 +86,12 @@
     await Promise.all(callers);
     const accepted = answers.filter((answer) => answer.status === 200);
     const refused = answers.filter((answer) => answer.status !== 200);
-    const whole = accepted.filter((answer) =>
+    const complete = accepted.filter((answer) =>
       answer.misplaced === 0 &&
       (answer.finishReason === "stop" || answer.pieces === TOKENS)
     );
     expect(await waves).toBeGreaterThan(1);
-    expect(whole).toHaveLength(accepted.length);
+    expect(complete).toHaveLength(accepted.length);
     expect(accepted.length).toBeGreaterThan(REQUESTS * 0.95);
     expect(refused.map((answer) => answer.run)).toEqual(
       refused.map(() => "not-run"),
