--- a/apps/heroncleatd/entry/caller_server.ts
+++ b/apps/heroncleatd/entry/caller_server.ts
@@ -12,10 +12,10 @@
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import { handleAnnouncement } from "./handle_announcement.ts";
-import { handleRetrieval } from "./handle_retrieval.ts";
 import { handleDiscovery } from "./handle_discovery.ts";
 import { handleGeneration } from "./handle_generation.ts";
 import { handleModels } from "./handle_models.ts";
+import { handleRetrieval } from "./handle_retrieval.ts";
 import { handleService } from "./handle_service.ts";
 import { listOtherEntries } from "./list_other_entries.ts";
 import { parseServicePath } from "./parse_service_path.ts";
@@ -178,7 +178,7 @@
   }
 
   #onError(response: ServerResponse, error: Error): void {
-    this.#parts.context.log("callers").error("Request handler failed", {
+    this.#parts.context.log("callers").error("A request failed", {
       error: String(error.stack),
     });
     sendFault(
--- a/apps/heroncleatd/entry/dispatch_message.ts
+++ b/apps/heroncleatd/entry/dispatch_message.ts
@@ -25,7 +25,7 @@
     readonly kind: "admit";
     readonly request: AdmissionRequest;
     readonly target: Pick<RoutedRequest, "model" | "service">;
-    readonly reply: (answer: AdmissionResult) => void;
+    readonly reply: (result: AdmissionResult) => void;
   }
   | {
     readonly kind: "release";
@@ -38,7 +38,7 @@
     readonly token: string;
     /** Whether an earlier attempt failed; retries consume the retry budget. */
     readonly isRetry: boolean;
-    readonly reply: (answer: RouteResult) => void;
+    readonly reply: (result: RouteResult) => void;
   }
   | {
     readonly kind: "first_token";
--- a/apps/heroncleatd/entry/dispatch_service.ts
+++ b/apps/heroncleatd/entry/dispatch_service.ts
@@ -1,10 +1,10 @@
 import { createFault, type Fault } from "@heroncleat/base";
 import type { EntryParts } from "./entry_parts.ts";
+import { findSuspectFault } from "./find_suspect_fault.ts";
 import type { RouteResult } from "./route_result.ts";
 import { sendOnce } from "./send_once.ts";
 import type { ServiceCall } from "./service_call.ts";
 import type { ServiceOutcome } from "./service_outcome.ts";
-import { findSuspectFault } from "./find_suspect_fault.ts";
 
 const MAX_ATTEMPTS = 5;
 const HTTP_SERVER_ERROR = 500;
@@ -61,7 +61,8 @@
   }
   const { upstream, address } = routing.choice;
   const remaining = call.deadlineAt - clock.now();
-  // Checked right before sending.
+  // The lease and the deadline are checked right before sending, since waiting
+  // for routing takes time.
   if (!parts.context.lease.isValid || remaining <= 0) {
     parts.dispatch.send({ kind: "ended", upstream, token, outcome: "neutral" });
     attempts.lastFault = createNotSentFault(remaining);
--- a/apps/heroncleatd/entry/dispatch_service_test.ts
+++ b/apps/heroncleatd/entry/dispatch_service_test.ts
@@ -3,9 +3,9 @@
 import { createFault } from "@heroncleat/base";
 import * as fc from "fast-check";
 import { Agent } from "undici";
+import { dispatchService } from "./dispatch_service.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import type { ServiceCall } from "./service_call.ts";
-import { dispatchService } from "./dispatch_service.ts";
 
 const RUNS = Number(process.env["FUZZ_RUNS"] ?? 1) * 700;
 
--- a/apps/heroncleatd/entry/entry_parts.ts
+++ b/apps/heroncleatd/entry/entry_parts.ts
@@ -1,10 +1,10 @@
 import type { MemberRecord } from "@heroncleat/schema";
 import type { Actor } from "../common/actor.ts";
-import type { ResponseReader } from "./response_reader.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 import type { EntryContext } from "./entry_context.ts";
 import type { MembershipActorMessage } from "./membership_actor_message.ts";
 import type { RegistryMessage } from "./registry_message.ts";
+import type { ResponseReader } from "./response_reader.ts";
 
 /** Actors and services that the HTTP handlers use. */
 export type EntryParts = {
--- a/apps/heroncleatd/entry/handle_generation.ts
+++ b/apps/heroncleatd/entry/handle_generation.ts
@@ -19,13 +19,13 @@
 import { admit } from "./admit.ts";
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
+import { findSuspectFault } from "./find_suspect_fault.ts";
 import { identifyGeneration } from "./identify_generation.ts";
 import { listOtherEntries } from "./list_other_entries.ts";
 import type { OwnershipOutcome } from "./ownership_outcome.ts";
 import { promptText } from "./prompt_text.ts";
 import { readRequestOptions } from "./read_request_options.ts";
 import { sendResponse } from "./send_response.ts";
-import { findSuspectFault } from "./find_suspect_fault.ts";
 
 const CHARACTERS_PER_TOKEN = 4;
 const MAX_STANDBY_ATTEMPTS = 3;
--- a/apps/heroncleatd/entry/handle_service.ts
+++ b/apps/heroncleatd/entry/handle_service.ts
@@ -14,16 +14,16 @@
 import { sendFault } from "../common/send_fault.ts";
 import { admit } from "./admit.ts";
 import type { CallerRequest } from "./caller_request.ts";
+import { dispatchService } from "./dispatch_service.ts";
 import type { EntryParts } from "./entry_parts.ts";
+import { findSuspectFault } from "./find_suspect_fault.ts";
 import { isIdempotent } from "./is_idempotent.ts";
 import { listOtherEntries } from "./list_other_entries.ts";
 import { readRequestOptions } from "./read_request_options.ts";
 import { runClaimed } from "./run_claimed.ts";
 import type { ServiceCall } from "./service_call.ts";
-import { dispatchService } from "./dispatch_service.ts";
 import type { ServiceOutcome } from "./service_outcome.ts";
 import type { ServiceTarget } from "./service_target.ts";
-import { findSuspectFault } from "./find_suspect_fault.ts";
 
 const MAX_KEY_CHARACTERS = 200;
 
--- a/apps/heroncleatd/entry/registry_message.ts
+++ b/apps/heroncleatd/entry/registry_message.ts
@@ -33,14 +33,14 @@
     readonly query: AnswerQuery;
     /** Called with the local actor of the request, for direct reads. */
     readonly onOwner: (actor: Actor<RequestMessage>) => void;
-    readonly reply: (answer: ForwardedAnswer) => void;
+    readonly reply: (reply: ForwardedAnswer) => void;
   }
   /** Takes over requests that another entry hands over. */
   | {
     readonly kind: "take_over";
     readonly ids: readonly string[];
     /** Called with the IDs that this entry now owns. */
-    readonly reply: (taken: string[]) => void;
+    readonly reply: (takenOverIds: string[]) => void;
   }
   /** Hands all unfinished requests over to their standbys. */
   | { readonly kind: "hand_over" }
--- a/apps/heroncleatd/entry/request_message.ts
+++ b/apps/heroncleatd/entry/request_message.ts
@@ -10,5 +10,5 @@
     readonly kind: "read";
     readonly from: number;
     readonly wait: Milliseconds;
-    readonly reply: (answer: ForwardedAnswer) => void;
+    readonly reply: (reply: ForwardedAnswer) => void;
   };
--- a/apps/heroncleatd/entry/request_registry.ts
+++ b/apps/heroncleatd/entry/request_registry.ts
@@ -21,13 +21,13 @@
 import type { CopySender } from "./copy_sender.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 import type { EntryContext } from "./entry_context.ts";
+import { HandOverSender } from "./hand_over_sender.ts";
+import { NOT_FOUND } from "./not_found.ts";
 import type { OwnershipOutcome } from "./ownership_outcome.ts";
 import type { RegistryMessage } from "./registry_message.ts";
-import { RequestRunner } from "./request_runner.ts";
 import type { RequestMessage } from "./request_message.ts";
+import { RequestRunner } from "./request_runner.ts";
 import type { RequestServices } from "./request_services.ts";
-import { HandOverSender } from "./hand_over_sender.ts";
-import { NOT_FOUND } from "./not_found.ts";
 import { toRoutedRequest } from "./to_routed_request.ts";
 
 type RegistryOptions = {
@@ -174,7 +174,7 @@
       },
       start,
     });
-    const host: RequestRunner = new RequestRunner({
+    const runner: RequestRunner = new RequestRunner({
       request,
       context,
       services: this.#createServices(record),
@@ -184,7 +184,7 @@
       name: `request-${record.id.replaceAll(/[^A-Za-z0-9_-]/g, "-")}` +
         `-${record.epoch}`,
       log: this.#log,
-      handle: (message) => host.handle(message),
+      handle: (message) => runner.handle(message),
     });
     const ownedState: OwnedRequestState = {
       request,
--- a/apps/heroncleatd/entry/request_runner.ts
+++ b/apps/heroncleatd/entry/request_runner.ts
@@ -204,12 +204,12 @@
             piece: chunk,
           });
         },
-        onFinished: (pieces, reason) => {
+        onFinished: (chunkCount, reason) => {
           context.crashes.noteAnswer(this.#identity);
           this.#sendEvent({
             kind: "attempt_finished",
             attempt: number,
-            pieces,
+            pieces: chunkCount,
             reason,
           });
         },
--- a/apps/heroncleatd/entry/response_formatter.ts
+++ b/apps/heroncleatd/entry/response_formatter.ts
@@ -9,7 +9,7 @@
   readonly at: number;
 };
 
-/** Formats responses as defined by the OpenAI API. */
+/** Formats responses in the format of the OpenAI API. */
 export const responseFormatter = {
   /** Formats one streamed chunk; the event ID is the chunk's index. */
   chunk({ record, at }: ResponseHead, chunk: TextPiece): string {
--- a/apps/heroncleatd/entry/run_claimed.ts
+++ b/apps/heroncleatd/entry/run_claimed.ts
@@ -2,9 +2,9 @@
 import { createFault, type Fault } from "@heroncleat/base";
 import type { Claim, ClaimReply } from "@heroncleat/schema";
 import { ClaimClient } from "./claim_client.ts";
+import { dispatchService } from "./dispatch_service.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import type { ServiceCall } from "./service_call.ts";
-import { dispatchService } from "./dispatch_service.ts";
 import type { ServiceOutcome } from "./service_outcome.ts";
 
 const CLAIM_TIMEOUT_MS = 2500;
--- a/apps/heroncleatd/entry/send_response.ts
+++ b/apps/heroncleatd/entry/send_response.ts
@@ -9,8 +9,8 @@
 import { sendJson } from "../common/send_json.ts";
 import type { CallerRequest } from "./caller_request.ts";
 import type { EntryParts } from "./entry_parts.ts";
-import { responseFormatter } from "./response_formatter.ts";
 import { listOtherEntries } from "./list_other_entries.ts";
+import { responseFormatter } from "./response_formatter.ts";
 
 /** The response to send, its first chunk and the deadline. */
 type ResponsePosition = {
--- a/apps/heroncleatd/entry/start_entry.ts
+++ b/apps/heroncleatd/entry/start_entry.ts
@@ -10,20 +10,20 @@
 import type { KeyRing } from "../common/key_ring.ts";
 import type { ProcessContext } from "../common/process_context.ts";
 import type { RunningRole } from "../common/running_role.ts";
-import { ResponseReader } from "./response_reader.ts";
 import { CallerServer } from "./caller_server.ts";
 import { ConfigurationLease } from "./configuration_lease.ts";
 import { ConfigurationRenewer } from "./configuration_renewer.ts";
 import { CopySender } from "./copy_sender.ts";
 import { createChainHash } from "./create_chain_hash.ts";
-import { RequestDispatcher } from "./request_dispatcher.ts";
-import { SuspectSync } from "./suspect_sync.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 import type { EntryContext } from "./entry_context.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import type { RegistryMessage } from "./registry_message.ts";
+import { RequestDispatcher } from "./request_dispatcher.ts";
 import { RequestRegistry } from "./request_registry.ts";
+import { ResponseReader } from "./response_reader.ts";
 import { startMembership } from "./start_membership.ts";
+import { SuspectSync } from "./suspect_sync.ts";
 
 const DISPATCH_TICK_MS = 20;
 const REGISTRY_TICK_MS = 500;
@@ -157,11 +157,11 @@
   }
 
   #startDispatch(): Actor<DispatchMessage> {
-    const host = new RequestDispatcher(this.#context);
+    const dispatcher = new RequestDispatcher(this.#context);
     return new Actor(this.#context.system, {
       name: "dispatch",
       log: this.#context.log("dispatch"),
-      handle: (message) => host.handle(message),
+      handle: (message) => dispatcher.handle(message),
     });
   }
 
--- a/apps/heroncleatd/entry/start_membership.ts
+++ b/apps/heroncleatd/entry/start_membership.ts
@@ -7,8 +7,8 @@
 import { checkMembershipMessage } from "@heroncleat/schema";
 import { Actor } from "../common/actor.ts";
 import type { EntryContext } from "./entry_context.ts";
-import type { MembershipListener } from "./membership_listener.ts";
 import type { MembershipActorMessage } from "./membership_actor_message.ts";
+import type { MembershipListener } from "./membership_listener.ts";
 
 const TICK_INTERVAL_MS = 25;
 const INDIRECT_PROBES = 3;
--- a/apps/heroncleatd/tests/callers_api_test.ts
+++ b/apps/heroncleatd/tests/callers_api_test.ts
@@ -59,7 +59,7 @@
     const expected = expectedAnswer(body, "demo");
     const streamed = await followAnswer({
       entries: live.callerAddresses,
-      key: live.callerKey,
+      key: live.key,
       body,
     });
     expect(streamed).toMatchObject({ status: 200, text: expected });
@@ -83,7 +83,7 @@
     const body = createChatBody("Fetch me again", 20);
     const { requestId, text } = await followAnswer({
       entries: live.callerAddresses,
-      key: live.callerKey,
+      key: live.key,
       body,
     });
     const path = `/v1/requests/${encodeURIComponent(requestId)}`;
@@ -108,7 +108,7 @@
       `http://${live.callerAddresses[0]}/v1/chat/completions`,
       {
         method: "POST",
-        headers: { authorization: `Bearer ${live.callerKey}` },
+        headers: { authorization: `Bearer ${live.key}` },
         body: JSON.stringify({
           ...createChatBody("For my eyes only", 400),
           stream: true,
@@ -149,7 +149,7 @@
   });
 
   test("responds to malformed, oversized, slow and half-closed requests", async () => {
-    const key = `authorization: Bearer ${live.callerKey}`;
+    const key = `authorization: Bearer ${live.key}`;
     const head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n" + key;
     const oversized = await sendRaw(
       `${head}\r\ncontent-length: 999999\r\nconnection: close\r\n\r\n{`,
--- a/apps/heroncleatd/tests/live_deployment.ts
+++ b/apps/heroncleatd/tests/live_deployment.ts
@@ -64,7 +64,7 @@
     return this.deployment.entries.map((entry) => entry.callerAddress);
   }
 
-  get callerKey(): string {
+  get key(): string {
     return Object.values(this.deployment.callerKeys)[0]!;
   }
 
@@ -105,7 +105,7 @@
       {
         method: (options.method ?? "GET") as "GET",
         headers: {
-          authorization: `Bearer ${this.callerKey}`,
+          authorization: `Bearer ${this.key}`,
           ...options.headers,
         },
         body: options.body ?? null,
--- a/apps/heroncleatd/tests/loss_test.ts
+++ b/apps/heroncleatd/tests/loss_test.ts
@@ -36,14 +36,17 @@
 function startStreams(
   count: number,
   from = 0,
-): { answers: ReturnType<typeof followAnswer>[]; accepted: Promise<unknown> } {
+): {
+  responses: ReturnType<typeof followAnswer>[];
+  accepted: Promise<unknown>;
+} {
   const accepted: Promise<unknown>[] = [];
-  const answers = Array.from({ length: count }, (_, n) => {
+  const responses = Array.from({ length: count }, (_, n) => {
     let onAccepted = () => {};
     const isAccepted = new Promise<void>((resolve) => onAccepted = resolve);
-    const answer = followAnswer({
+    const response = followAnswer({
       entries: rotate(live.callerAddresses, n),
-      key: live.callerKey,
+      key: live.key,
       body: {
         model: "assistant",
         max_tokens: TOKENS,
@@ -53,10 +56,10 @@
       onAccepted,
     });
     // A refused request is never accepted; its response settles the race.
-    accepted.push(Promise.race([isAccepted, answer]));
-    return answer;
+    accepted.push(Promise.race([isAccepted, response]));
+    return response;
   });
-  return { answers, accepted: Promise.all(accepted) };
+  return { responses, accepted: Promise.all(accepted) };
 }
 
 function rotate<Item>(items: readonly Item[], by: number): Item[] {
@@ -69,21 +72,21 @@
  * stored one.
  */
 async function expectComplete(
-  answers: Awaited<ReturnType<typeof followAnswer>>[],
+  responses: Awaited<ReturnType<typeof followAnswer>>[],
   index = 3,
 ): Promise<void> {
-  for (const answer of answers) {
-    expect(answer).toMatchObject({
+  for (const response of responses) {
+    expect(response).toMatchObject({
       status: 200,
       refusal: "",
       misplaced: 0,
     });
-    expect(answer.finishReason).toMatch(/stop|length/);
-    if (answer.finishReason === "length") {
-      expect(answer.pieces).toBe(TOKENS);
+    expect(response.finishReason).toMatch(/stop|length/);
+    if (response.finishReason === "length") {
+      expect(response.pieces).toBe(TOKENS);
     }
   }
-  const sample = answers[0]!;
+  const sample = responses[0]!;
   const path = `/v1/requests/${encodeURIComponent(sample.requestId)}`;
   const heldReply = await live.call(index, path);
   const texts = [...heldReply.body.matchAll(/"content":"([^"]*)"/g)].map((m) =>
@@ -96,7 +99,7 @@
 
 describe("accepted streams", () => {
   test("survive an announced reclaim with 2 s of notice", async () => {
-    const { answers: streams } = startStreams(40);
+    const { responses: streams } = startStreams(40);
     await sleep(400);
     const before = await live.callStandIn("engine-2");
     await live.callStandIn("engine-2", { leaveIn: 2000 });
@@ -114,7 +117,7 @@
   });
 
   test("survive an upstream crash without notice", async () => {
-    const { answers: streams, accepted } = startStreams(30, 100);
+    const { responses: streams, accepted } = startStreams(30, 100);
     await accepted;
     await sleep(200);
     live.processes.signal("engine-3", "SIGKILL");
@@ -122,13 +125,13 @@
   });
 
   test("survive a crash of their owner without losing or repeating text", async () => {
-    const { answers: streams, accepted } = startStreams(32, 200);
+    const { responses: streams, accepted } = startStreams(32, 200);
     await accepted;
     await sleep(200);
     live.processes.signal("entry-2", "SIGKILL");
-    const answers = await Promise.all(streams);
-    await expectComplete(answers);
-    expect(answers.some((answer) => answer.reconnects > 0)).toBe(true);
+    const responses = await Promise.all(streams);
+    await expectComplete(responses);
+    expect(responses.some((response) => response.reconnects > 0)).toBe(true);
     live.restart("entry-2");
     await waitFor("The return of entry-2", {
       timeout: 15_000,
@@ -138,7 +141,7 @@
   });
 
   test("survive a suspended owner that resumes after a takeover", async () => {
-    const { answers: streams, accepted } = startStreams(24, 300);
+    const { responses: streams, accepted } = startStreams(24, 300);
     await accepted;
     await sleep(200);
     live.processes.signal("entry-3", "SIGSTOP");
@@ -148,7 +151,7 @@
   });
 
   test("are not interrupted by a planned shutdown", async () => {
-    const { answers: streams, accepted } = startStreams(24, 400);
+    const { responses: streams, accepted } = startStreams(24, 400);
     await accepted;
     await sleep(200);
     live.processes.signal("entry-1", "SIGTERM");
@@ -160,22 +163,22 @@
       },
     });
     expect(listed).not.toContain(live.callerAddresses[0]);
-    const answers = await Promise.all(streams);
-    await expectComplete(answers);
-    expect(answers.map((answer) => answer.reconnects)).toEqual(
-      answers.map(() => 0),
+    const responses = await Promise.all(streams);
+    await expectComplete(responses);
+    expect(responses.map((response) => response.reconnects)).toEqual(
+      responses.map(() => 0),
     );
     expect(await live.processes.exitOf("entry-1")).toBe(0);
   });
 
   test("are handed over when a shutdown reaches its time limit", async () => {
-    const { answers: streams } = startStreams(16, 500);
+    const { responses: streams } = startStreams(16, 500);
     await sleep(400);
     live.processes.signal("entry-4", "SIGTERM");
-    const answers = await Promise.all(streams);
-    const accepted = answers.filter((answer) => answer.requestId !== "");
+    const responses = await Promise.all(streams);
+    const accepted = responses.filter((response) => response.requestId !== "");
     await expectComplete(accepted, 1);
-    expect(accepted.some((answer) => answer.reconnects > 0)).toBe(true);
+    expect(accepted.some((response) => response.reconnects > 0)).toBe(true);
     expect(await live.processes.exitOf("entry-4")).toBe(0);
   });
 });
--- a/apps/heroncleatd/tests/restart_test.ts
+++ b/apps/heroncleatd/tests/restart_test.ts
@@ -24,15 +24,15 @@
       await waitFor("The return of entry-2", {
         timeout: 15_000,
         check: async () => {
-          const answer = await live.call(1, "/v1/health").catch(() =>
+          const response = await live.call(1, "/v1/health").catch(() =>
             undefined
           );
-          return answer?.status === 200 || undefined;
+          return response?.status === 200 || undefined;
         },
       });
-      const answer = await followAnswer({
+      const response = await followAnswer({
         entries: [live.callerAddresses[1]!],
-        key: live.callerKey,
+        key: live.key,
         body: {
           model: "assistant",
           max_tokens: 2,
@@ -40,7 +40,7 @@
         },
         timeout: 5000,
       });
-      statuses.push(answer.status);
+      statuses.push(response.status);
     }
     expect(statuses).toEqual(statuses.map(() => 200));
   });
--- a/apps/heroncleatd/tests/wave_test.ts
+++ b/apps/heroncleatd/tests/wave_test.ts
@@ -57,7 +57,7 @@
 
 describe("a thousand requests while whole zones are reclaimed", () => {
   test("get complete responses", async () => {
-    const answers: FollowedAnswer[] = [];
+    const responses: FollowedAnswer[] = [];
     let next = 0;
     let running = CONCURRENT_CALLERS;
     const waves = runWaves(() => running === 0);
@@ -65,13 +65,13 @@
       while (next < REQUESTS) {
         const n = next;
         next += 1;
-        answers.push(
+        responses.push(
           await followAnswer({
             entries: [
               live.callerAddresses[n % 4]!,
               live.callerAddresses[(n + 1) % 4]!,
             ],
-            key: live.callerKey,
+            key: live.key,
             body: {
               model: "assistant",
               max_tokens: TOKENS,
@@ -84,16 +84,16 @@
       running -= 1;
     });
     await Promise.all(callers);
-    const accepted = answers.filter((answer) => answer.status === 200);
-    const refused = answers.filter((answer) => answer.status !== 200);
-    const complete = accepted.filter((answer) =>
-      answer.misplaced === 0 &&
-      (answer.finishReason === "stop" || answer.pieces === TOKENS)
+    const accepted = responses.filter((response) => response.status === 200);
+    const refused = responses.filter((response) => response.status !== 200);
+    const complete = accepted.filter((response) =>
+      response.misplaced === 0 &&
+      (response.finishReason === "stop" || response.pieces === TOKENS)
     );
     expect(await waves).toBeGreaterThan(1);
     expect(complete).toHaveLength(accepted.length);
     expect(accepted.length).toBeGreaterThan(REQUESTS * 0.95);
-    expect(refused.map((answer) => answer.run)).toEqual(
+    expect(refused.map((response) => response.run)).toEqual(
       refused.map(() => "not-run"),
     );
   });
