--- a/apps/heroncleatd/entry/admit.ts
+++ b/apps/heroncleatd/entry/admit.ts
@@ -2,17 +2,20 @@
 import { createFault } from "@heroncleat/base";
 import type { RoutedRequest } from "@heroncleat/routing";
 import type { Actor } from "../common/actor.ts";
-import type { AdmissionAnswer } from "./admission_answer.ts";
+import type { AdmissionResult } from "./admission_result.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 
-/** Asks whether a request may run, and waits in the queue if it must. */
+/**
+ * Resolves when admission control admits or refuses the request, possibly after
+ * queueing.
+ */
 export function admit(
   dispatch: Actor<DispatchMessage>,
   options: {
     request: AdmissionRequest;
     target: Pick<RoutedRequest, "model" | "service">;
   },
-): Promise<AdmissionAnswer> {
+): Promise<AdmissionResult> {
   return new Promise((resolve) => {
     const sent = dispatch.send({
       kind: "admit",
@@ -24,7 +27,7 @@
         kind: "refused",
         fault: createFault(
           "overloaded",
-          "This entry is overloaded. Remedy: come back after Retry-After.",
+          "This entry is overloaded. Remedy: retry after the time in Retry-After.",
           { retryAfter: 1000 },
         ),
       });
--- a/apps/heroncleatd/entry/configuration_lease.ts
+++ b/apps/heroncleatd/entry/configuration_lease.ts
@@ -1,23 +1,23 @@
 import type { Clock, Milliseconds } from "@heroncleat/base";
 
 /**
- * The time until which this entry may act on its configuration. It is read at
- * the last step before work is taken on or sent out.
+ * Lease that permits this entry to act on its configuration. It is checked
+ * right before a request is admitted or sent to an upstream.
  */
 export class ConfigurationLease {
   readonly #clock: Clock;
-  #until: Milliseconds = 0;
+  #validUntil: Milliseconds = 0;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
   get isValid(): boolean {
-    return this.#clock.now() < this.#until;
+    return this.#clock.now() < this.#validUntil;
   }
 
-  /** Extends the lease from the moment the confirmed read was asked for. */
-  extend(askedAt: Milliseconds, length: Milliseconds): void {
-    this.#until = Math.max(this.#until, askedAt + length);
+  /** Extends the lease, counted from when the quorum read was requested. */
+  extend(requestedAt: Milliseconds, duration: Milliseconds): void {
+    this.#validUntil = Math.max(this.#validUntil, requestedAt + duration);
   }
 }
--- a/apps/heroncleatd/entry/configuration_renewer.ts
+++ b/apps/heroncleatd/entry/configuration_renewer.ts
@@ -2,8 +2,8 @@
 import type { ConfigurationView, RevisionEdits } from "@heroncleat/schema";
 import type { EntryContext } from "./entry_context.ts";
 
-/** Answer of a replica to a renewal. */
-type Renewal =
+/** Reply of a control replica to a renewal. */
+type RenewalReply =
   | {
     readonly kind: "renewed";
     readonly revision: number;
@@ -14,16 +14,16 @@
   | { readonly kind: "not_leader"; readonly leader: string };
 
 /**
- * Reads the configuration through a quorum again and again, which also renews
- * this entry's lease on it.
+ * Periodically reads the configuration through a quorum, which also renews this
+ * entry's configuration lease.
  */
 export class ConfigurationRenewer {
   readonly #context: EntryContext;
   readonly #onView: (view: ConfigurationView) => void;
   readonly #follower = new ConfigurationFollower();
   #timer: NodeJS.Timeout | undefined;
-  #stopped = false;
-  #failing = false;
+  #isStopped = false;
+  #isFailing = false;
 
   constructor(
     context: EntryContext,
@@ -38,14 +38,14 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     clearTimeout(this.#timer);
   }
 
   async #renew(): Promise<void> {
     const { clock, control, entry, lease } = this.#context;
-    const askedAt = clock.now();
-    const reply = await control.call<Renewal>("control.renew", {
+    const requestedAt = clock.now();
+    const reply = await control.call<RenewalReply>("control.renew", {
       parameters: {
         entry: this.#context.name,
         revision: this.#follower.view.revision,
@@ -53,41 +53,43 @@
       timeout: entry.configuration_lease,
     });
     if (reply.kind === "renewed") {
-      this.#take(reply);
-      lease.extend(askedAt, entry.configuration_lease);
+      this.#applyReply(reply);
+      lease.extend(requestedAt, entry.configuration_lease);
     }
-    this.#noteOutcome(reply.kind === "renewed");
-    if (!this.#stopped) {
+    this.#recordOutcome(reply.kind === "renewed");
+    if (!this.#isStopped) {
       this.#timer = setTimeout(() => void this.#renew(), entry.renew_interval);
     }
   }
 
-  #take(reply: Extract<Renewal, { kind: "renewed" }>): void {
-    const first = this.#follower.view.revision === 0;
-    const moved = reply.catchUp.kind === "view"
+  #applyReply(reply: Extract<RenewalReply, { kind: "renewed" }>): void {
+    const isFirst = this.#follower.view.revision === 0;
+    const hasChanged = reply.catchUp.kind === "view"
       ? this.#follower.takeView(reply.catchUp.view)
       : this.#follower.takeEdits(reply.catchUp.edits);
-    if (moved || first) {
+    if (hasChanged || isFirst) {
       this.#onView(this.#follower.view);
     }
-    if (moved) {
+    if (hasChanged) {
       this.#context.log("configuration").info(
-        `Revision ${this.#follower.view.revision} is in force`,
+        `Configuration revision ${this.#follower.view.revision} is active`,
       );
     }
   }
 
-  #noteOutcome(renewed: boolean): void {
+  #recordOutcome(isRenewed: boolean): void {
     const log = this.#context.log("configuration");
-    if (!renewed && !this.#failing) {
-      log.warn("The lease can't be renewed; new work will be refused");
+    if (!isRenewed && !this.#isFailing) {
+      log.warn(
+        "The configuration lease can't be renewed; new requests will be refused",
+      );
     }
-    if (renewed && this.#failing) {
-      log.info("The lease is renewed again");
+    if (isRenewed && this.#isFailing) {
+      log.info("The configuration lease is renewed again");
     }
-    this.#failing = !renewed;
+    this.#isFailing = !isRenewed;
     this.#context.metrics.increment(
-      renewed ? "configuration.renewed" : "configuration.renew_failed",
+      isRenewed ? "configuration.renewed" : "configuration.renew_failed",
     );
   }
 }
--- a/apps/heroncleatd/entry/entry_parts.ts
+++ b/apps/heroncleatd/entry/entry_parts.ts
@@ -1,22 +1,23 @@
 import type { MemberRecord } from "@heroncleat/schema";
 import type { Actor } from "../common/actor.ts";
-import type { AnswerSource } from "./answer_source.ts";
 import type { DispatchMessage } from "./dispatch_message.ts";
 import type { EntryContext } from "./entry_context.ts";
-import type { MembershipActorMessage } from "./membership_message.ts";
+import type { MembershipActorMessage } from "./membership_actor_message.ts";
 import type { RegistryMessage } from "./registry_message.ts";
+import type { ResponseReader } from "./response_reader.ts";
 
-/** What the handlers of the callers' API work with. */
+/** Actors and services that the HTTP handlers use. */
 export type EntryParts = {
   readonly context: EntryContext;
   readonly membership: Actor<MembershipActorMessage>;
   readonly dispatch: Actor<DispatchMessage>;
   readonly registry: Actor<RegistryMessage>;
-  readonly answers: AnswerSource;
-  /** The members as last received. */
+  readonly responses: ResponseReader;
   readonly members: () => readonly MemberRecord[];
-  /** Whether this entry has known of the upstreams that others know. */
-  readonly isInformed: () => boolean;
-  /** Whether this entry is stopping and takes no new requests. */
-  readonly isLeaving: () => boolean;
+  /**
+   * Whether this entry has received the upstreams known to the other entries.
+   */
+  readonly isSynchronized: () => boolean;
+  /** Whether this entry is shutting down and refuses new requests. */
+  readonly isShuttingDown: () => boolean;
 };
--- a/apps/heroncleatd/entry/request_services.ts
+++ b/apps/heroncleatd/entry/request_services.ts
@@ -5,7 +5,7 @@
   CustodyReply,
   RequestRecord,
 } from "@heroncleat/schema";
-import type { RouteAnswer } from "./route_answer.ts";
+import type { RouteResult } from "./route_result.ts";
 
 /** How a request ended at its owner. */
 type RequestEnd =
@@ -15,16 +15,16 @@
   | { readonly kind: "handed_over"; readonly owner: string }
   | { readonly kind: "fenced"; readonly owner: string };
 
-/** What a request needs of the rest of the entry. */
+/** Operations of the entry that a running request uses. */
 export type RequestServices = {
-  readonly copy: (to: string, message: CopyMessage) => Promise<CopyReply>;
+  readonly sendCopy: (to: string, message: CopyMessage) => Promise<CopyReply>;
   readonly chooseStandby: (exclude: readonly string[]) => string;
-  /** Moves custody in the ledger; nothing when it can't be asked. */
+  /** Moves custody in the ledger; `undefined` if no replica replies. */
   readonly moveStandby: (
     record: RequestRecord,
     options: { expectedEpoch: number; standby: string },
   ) => Promise<CustodyReply | undefined>;
-  /** The new owner, or nothing when the standby did not take over. */
+  /** Returns the new owner, or `undefined` if the standby did not take over. */
   readonly handOver: (
     standby: string,
     id: string,
@@ -32,16 +32,19 @@
   readonly route: (
     record: RequestRecord,
     options: { token: string; exclude: readonly string[]; isRetry: boolean },
-  ) => Promise<RouteAnswer>;
-  readonly attemptEnded: (
+  ) => Promise<RouteResult>;
+  readonly recordAttempt: (
     upstream: string,
     options: { token: string; outcome: "succeeded" | "failed" | "neutral" },
   ) => void;
-  readonly firstToken: (
+  readonly recordFirstToken: (
     upstream: string,
     times: { measured: Milliseconds; estimated: Milliseconds },
   ) => void;
-  readonly betweenTokens: (upstream: string, measured: Milliseconds) => void;
+  readonly recordTokenInterval: (
+    upstream: string,
+    measured: Milliseconds,
+  ) => void;
   readonly onAccepted: (record: RequestRecord) => void;
   readonly onEnded: (record: RequestRecord, end: RequestEnd) => void;
 };
--- a/apps/heroncleatd/entry/run_claimed.ts
+++ b/apps/heroncleatd/entry/run_claimed.ts
@@ -2,17 +2,17 @@
 import { createFault, type Fault } from "@heroncleat/base";
 import type { Claim, ClaimReply } from "@heroncleat/schema";
 import { ClaimClient } from "./claim_client.ts";
+import { dispatchService } from "./dispatch_service.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import type { ServiceCall } from "./service_call.ts";
-import { dispatchService } from "./service_dispatcher.ts";
 import type { ServiceOutcome } from "./service_outcome.ts";
 
-const CLAIM_TIMEOUT = 2500;
-const POLL_PAUSE = 100;
+const CLAIM_TIMEOUT_MS = 2500;
+const POLL_INTERVAL_MS = 100;
 
 /**
- * Runs a call at most once: claims its key in the ledger, sends it, stores
- * its outcome. A resend, at whichever entry, gets what became of the first.
+ * Runs a call at most once: claims its key in the ledger, sends the call and
+ * stores its outcome. A repeat at any entry gets the stored outcome.
  */
 export async function runClaimed(
   parts: EntryParts,
@@ -21,12 +21,12 @@
   const claims = new ClaimClient(parts.context.control);
   const reply = await claimCall(parts, call, claims);
   if (reply === undefined) {
-    releaseLater(call, claims);
-    return { kind: "not_run", fault: describeNoQuorum() };
+    releaseClaim(call, claims);
+    return { kind: "not_run", fault: createNoQuorumFault() };
   }
   switch (reply.outcome) {
     case "conflict":
-      return { kind: "not_run", fault: describeConflict() };
+      return { kind: "not_run", fault: createConflictFault() };
     case "exists":
       return await followClaim(parts, call, { claims, claim: reply.claim });
     case "claimed":
@@ -35,10 +35,10 @@
 }
 
 /**
- * The claim may still be committed although no answer came. This request was
- * refused, so its key is freed for the next one as soon as that is possible.
+ * Releases the key of a refused call, since its claim may still be committed
+ * although no reply arrived.
  */
-function releaseLater(call: ServiceCall, claims: ClaimClient): void {
+function releaseClaim(call: ServiceCall, claims: ClaimClient): void {
   const { workspace } = call.routed;
   const { key, token } = call;
   void claims.resolve({ workspace, key, attempt: token }, {
@@ -52,17 +52,17 @@
   claims: ClaimClient,
 ): Promise<ClaimReply | undefined> {
   const { clock, name } = parts.context;
-  const left = call.until - clock.now();
+  const remaining = call.deadlineAt - clock.now();
   return claims.claim({
     kind: "claim",
     workspace: call.routed.workspace,
     key: call.key,
-    digest: digestOf(call),
+    digest: computeDigest(call),
     owner: name,
     attempt: call.token,
     at: 0,
-    deadline: clock.wall() + left,
-  }, Math.max(1, Math.min(left, CLAIM_TIMEOUT)));
+    deadline: clock.wall() + remaining,
+  }, Math.max(1, Math.min(remaining, CLAIM_TIMEOUT_MS)));
 }
 
 async function runOnce(
@@ -74,24 +74,26 @@
   if (claim.state !== "claimed") {
     return await followClaim(parts, call, options);
   }
-  const sent = await dispatchService(parts, call);
-  switch (sent.kind) {
+  const result = await dispatchService(parts, call);
+  switch (result.kind) {
     case "answered":
-      await claims.resolve(claim, { state: "done", outcome: sent.outcome });
-      return sent;
+      await claims.resolve(claim, { state: "done", outcome: result.outcome });
+      return result;
     case "not_run":
       await claims.resolve(claim, { state: "not_run" });
-      return sent;
+      return result;
     case "unknown":
       await claims.resolve(claim, { state: "unknown" });
       return {
         kind: "unknown",
-        fault: describeUnknown("the connection broke or the answer was late"),
+        fault: createUnknownFault(
+          "the connection broke or the response was late",
+        ),
       };
   }
 }
 
-/** Waits for the outcome of a call that another request is running. */
+/** Waits for the outcome of a call that another request runs. */
 async function followClaim(
   parts: EntryParts,
   call: ServiceCall,
@@ -99,10 +101,10 @@
 ): Promise<ServiceOutcome> {
   let claim: Claim | undefined = options.claim;
   while (claim !== undefined && isRunning(parts, claim)) {
-    if (parts.context.clock.now() >= call.until) {
-      return { kind: "unknown", fault: describeInProgress() };
+    if (parts.context.clock.now() >= call.deadlineAt) {
+      return { kind: "unknown", fault: createInProgressFault() };
     }
-    await new Promise((resolve) => setTimeout(resolve, POLL_PAUSE));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     claim = await options.claims.find(call.routed.workspace, call.key) ??
       claim;
   }
@@ -110,25 +112,27 @@
     return { kind: "answered", outcome: claim.outcome };
   }
   if (claim.state === "not_run") {
-    return { kind: "not_run", fault: describeNotRun() };
+    return { kind: "not_run", fault: createNotRunFault() };
   }
   return {
     kind: "unknown",
-    fault: describeUnknown("the first request with this key got no answer"),
+    fault: createUnknownFault(
+      "the first request with this key got no response",
+    ),
   };
 }
 
-/** Whether the claimant may still come to an outcome. */
+/** Whether the claim's owner may still store an outcome. */
 function isRunning(parts: EntryParts, claim: Claim): boolean {
   if (claim.state !== "claimed") {
     return false;
   }
   const owner = parts.members().find((member) => member.name === claim.owner);
-  const gone = owner === undefined || owner.state === "dead";
-  return !gone && parts.context.clock.wall() < claim.deadline;
+  const isOwnerGone = owner === undefined || owner.state === "dead";
+  return !isOwnerGone && parts.context.clock.wall() < claim.deadline;
 }
 
-function digestOf(call: ServiceCall): string {
+function computeDigest(call: ServiceCall): string {
   const { method, service, path } = call.routed;
   return createHash("sha256")
     .update(JSON.stringify([method, service, path]))
@@ -136,16 +140,16 @@
     .digest("hex");
 }
 
-function describeNoQuorum(): Fault {
+function createNoQuorumFault(): Fault {
   return createFault(
     "no_quorum",
     "The call could not be claimed, so it was not run. Remedy: send it again " +
-      "with the same Idempotency-Key after Retry-After.",
+      "with the same Idempotency-Key after the time in Retry-After.",
     { retryAfter: 1000 },
   );
 }
 
-function describeConflict(): Fault {
+function createConflictFault(): Fault {
   return createFault(
     "conflict",
     "This Idempotency-Key was used for another request. Remedy: use a new " +
@@ -153,16 +157,16 @@
   );
 }
 
-function describeInProgress(): Fault {
+function createInProgressFault(): Fault {
   return createFault(
     "in_progress",
-    "The first request with this key is still running. Remedy: ask again " +
+    "The first request with this key is still running. Remedy: send it again " +
       "with the same key.",
     { run: "unknown", retryAfter: 1000 },
   );
 }
 
-function describeNotRun(): Fault {
+function createNotRunFault(): Fault {
   return createFault(
     "upstream_failed",
     "The first request with this key was not run. Remedy: send it again with " +
@@ -171,10 +175,10 @@
   );
 }
 
-function describeUnknown(cause: string): Fault {
+function createUnknownFault(cause: string): Fault {
   return createFault(
     "outcome_unknown",
-    `The call was sent and its outcome is not known (${cause}). Remedy: check ` +
+    `The call was sent and its outcome is unknown (${cause}). Remedy: check ` +
       "with the service; the call will not be run again under this key.",
     { run: "unknown" },
   );
--- a/apps/heroncleatd/entry/send_once.ts
+++ b/apps/heroncleatd/entry/send_once.ts
@@ -4,23 +4,22 @@
 import { CONNECT_ERRORS } from "./connect_errors.ts";
 import type { ServiceCall } from "./service_call.ts";
 
-/** What one attempt came to. */
+/** Outcome of one attempt. */
 type AttemptOutcome =
   | { readonly kind: "answered"; readonly outcome: Outcome }
-  /** No byte left, or the service said that it did not run the call. */
+  /** Nothing was sent, or the service reported that it did not run the call. */
   | { readonly kind: "not_run"; readonly message: string }
   | {
     readonly kind: "unknown";
     readonly message: string;
-    /** Whether the connection ended before the answer did. */
+    /** Whether the connection closed before the response was complete. */
     readonly isBroken: boolean;
   };
 
-/** Largest answer of a service that is passed on. */
-const MOST_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 /**
- * Sends a call to one upstream, once. Only an error of connecting, or the
- * upstream's own word for this very attempt, counts as not run.
+ * Sends a call to one upstream, once. Only a failure to connect, or the
+ * upstream's report for this attempt, counts as not run.
  */
 export async function sendOnce(
   call: ServiceCall,
@@ -42,13 +41,16 @@
       signal: AbortSignal.timeout(Math.max(1, Math.ceil(options.timeout))),
     });
   } catch (error) {
-    return describeError(error as NodeJS.ErrnoException);
+    return createErrorOutcome(error as NodeJS.ErrnoException);
   }
   if (response.headers["heroncleat-not-run"] === options.attempt) {
     await response.body.dump();
-    return { kind: "not_run", message: "the service refused it" };
+    return {
+      kind: "not_run",
+      message: "the service reported that it did not run the call",
+    };
   }
-  return await readAnswer(response);
+  return await readResponse(response);
 }
 
 function buildHeaders(
@@ -63,7 +65,7 @@
   };
 }
 
-function describeError(error: NodeJS.ErrnoException): AttemptOutcome {
+function createErrorOutcome(error: NodeJS.ErrnoException): AttemptOutcome {
   const code = error.code ?? "";
   const message = error.message === "" ? code : error.message;
   return CONNECT_ERRORS.includes(code)
@@ -71,8 +73,8 @@
     : { kind: "unknown", message, isBroken: error.name !== "TimeoutError" };
 }
 
-/** An answer counts only when all of it came. */
-async function readAnswer(
+/** Reads the response; an incomplete one makes the outcome unknown. */
+async function readResponse(
   response: Dispatcher.ResponseData,
 ): Promise<AttemptOutcome> {
   const chunks: Buffer[] = [];
@@ -80,10 +82,10 @@
   try {
     for await (const chunk of response.body) {
       length += (chunk as Buffer).length;
-      if (length > MOST_ANSWER_BYTES) {
+      if (length > MAX_RESPONSE_BYTES) {
         return {
           kind: "unknown",
-          message: "the answer is too large",
+          message: "the response is too large",
           isBroken: false,
         };
       }
--- a/apps/heroncleatd/entry/upstream_stream.ts
+++ b/apps/heroncleatd/entry/upstream_stream.ts
@@ -2,23 +2,22 @@
 import type { Agent, Dispatcher } from "undici";
 import { CONNECT_ERRORS } from "./connect_errors.ts";
 
-/** Why a stream didn't come whole. */
+/** Reason why a stream is incomplete. */
 type StreamFailure = {
   readonly message: string;
-  /** Whether the connection, which there was, ended before the answer did. */
+  /** Whether an open connection closed before the response was complete. */
   readonly isBroken: boolean;
 };
 
-/** What the reader of a stream gets, in order. */
+/** Callbacks of a stream, called in order. */
 type StreamHandlers = {
-  readonly onPiece: (place: number, text: string) => void;
-  /** The upstream marked the end; `pieces` were sent in all. */
-  readonly onFinished: (pieces: number, reason: string) => void;
-  /** The stream broke off, or never began. */
+  readonly onChunk: (index: number, text: string) => void;
+  /** Called when the upstream ended the stream after `chunkCount` chunks. */
+  readonly onFinished: (chunkCount: number, reason: string) => void;
+  /** Called when the stream broke or could not be opened. */
   readonly onFailed: (failure: StreamFailure) => void;
 };
 
-/** What opens a stream. */
 type StreamOptions = {
   readonly agent: Agent;
   readonly address: string;
@@ -28,7 +27,7 @@
   readonly handlers: StreamHandlers;
 };
 
-/** The parts of an engine's event that matter here. */
+/** The fields of an engine's event that are read. */
 type EngineEvent = {
   readonly choices?: readonly {
     readonly delta?: { readonly content?: string | null };
@@ -37,31 +36,31 @@
   }[];
 };
 
-const END_MARK = "[DONE]";
-const END_OF_BODY = "the stream ended without its end mark";
+const END_EVENT_DATA = "[DONE]";
+const MISSING_END_MESSAGE = "the stream ended without the [DONE] event";
 
 /**
- * One streamed generation at an upstream. An answer counts as whole only when
- * the engine gave a finish reason and the end mark.
+ * One streamed generation at an upstream. A response is complete only if the
+ * engine sent a finish reason and the `[DONE]` event.
  */
 export class UpstreamStream {
   readonly #options: StreamOptions;
   readonly #abort = new AbortController();
-  #pieces = 0;
-  #reason = "";
-  #ended = false;
+  #chunkCount = 0;
+  #finishReason = "";
+  #isEnded = false;
 
   constructor(options: StreamOptions) {
     this.#options = options;
     void this.#run();
   }
 
-  /** Stops the generation; the handlers receive nothing more. */
+  /** Cancels the generation; no handler is called afterwards. */
   cancel(): void {
-    // An abort closes the connection, which a finished stream leaves for the
-    // next request.
-    if (!this.#ended) {
-      this.#ended = true;
+    // Aborting closes the connection. After a finished stream the connection
+    // stays open for reuse.
+    if (!this.#isEnded) {
+      this.#isEnded = true;
       this.#abort.abort();
     }
   }
@@ -71,11 +70,14 @@
       const response = await this.#open();
       if (response.statusCode !== 200) {
         this.#abort.abort();
-        this.#fail(`the upstream answered ${response.statusCode}`, false);
+        this.#fail(
+          `the upstream returned status ${response.statusCode}`,
+          false,
+        );
         return;
       }
       await this.#read(response.body);
-      this.#fail(END_OF_BODY, true);
+      this.#fail(MISSING_END_MESSAGE, true);
     } catch (error) {
       const { message, code = "" } = error as NodeJS.ErrnoException;
       const isConnected = !CONNECT_ERRORS.includes(code);
@@ -110,10 +112,10 @@
   }
 
   #onEvent(event: EventSourceMessage): void {
-    if (this.#ended) {
+    if (this.#isEnded) {
       return;
     }
-    if (event.data === END_MARK) {
+    if (event.data === END_EVENT_DATA) {
       this.#finish();
       return;
     }
@@ -121,24 +123,24 @@
     const choice = value.choices?.[0];
     const text = choice?.delta?.content ?? choice?.text ?? "";
     if (text !== "") {
-      this.#options.handlers.onPiece(this.#pieces, text);
-      this.#pieces += 1;
+      this.#options.handlers.onChunk(this.#chunkCount, text);
+      this.#chunkCount += 1;
     }
-    this.#reason = choice?.finish_reason ?? this.#reason;
+    this.#finishReason = choice?.finish_reason ?? this.#finishReason;
   }
 
   #finish(): void {
-    if (this.#reason === "") {
+    if (this.#finishReason === "") {
       this.#fail("the stream ended without a finish reason", false);
       return;
     }
-    this.#ended = true;
-    this.#options.handlers.onFinished(this.#pieces, this.#reason);
+    this.#isEnded = true;
+    this.#options.handlers.onFinished(this.#chunkCount, this.#finishReason);
   }
 
   #fail(message: string, isBroken: boolean): void {
-    if (!this.#ended) {
-      this.#ended = true;
+    if (!this.#isEnded) {
+      this.#isEnded = true;
       this.#options.handlers.onFailed({ message, isBroken });
     }
   }
--- a/apps/heroncleatd/main.ts
+++ b/apps/heroncleatd/main.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * The daemon: reads its settings, starts its roles, stops gracefully.
+ * The daemon: reads the settings, starts the configured roles and shuts down
+ * gracefully.
  *
  * @module
  */
@@ -26,7 +27,7 @@
 import { startEntry } from "./entry/start_entry.ts";
 
 const VERSION = "0.1.0";
-const CONNECT_TIMEOUT = 1000;
+const CONNECT_TIMEOUT_MS = 1000;
 const ANY_HOST = "0.0.0.0";
 const HELP = `heroncleatd, the serving daemon.
 
@@ -37,22 +38,24 @@
   --help           print this text
   --version        print the version
 
-SIGTERM and SIGINT stop the process gracefully; a second one ends it at once.
+SIGTERM and SIGINT stop the process gracefully; a second one exits at once.
 Exit codes: 0 stopped, 1 failed, 2 bad settings, 3 damaged data folder.
 `;
 
 const options = readOptions();
-const settings = orExit(loadSettings(options.settings));
+const settings = unwrapOrExit(loadSettings(options.settings));
 const roles = splitList(settings.daemon.roles);
-const sharedSecret = orExit(readSecret(settings.security.shared_secret_file));
+const sharedSecret = unwrapOrExit(
+  readSecret(settings.security.shared_secret_file),
+);
 const callers = roles.includes("entry")
-  ? orExit(readKeyRing(
+  ? unwrapOrExit(readKeyRing(
     settings.security.caller_keys_file,
     "security.caller_keys_file",
   ))
   : undefined;
 const operators = roles.includes("control")
-  ? orExit(readKeyRing(
+  ? unwrapOrExit(readKeyRing(
     settings.security.operator_tokens_file,
     "security.operator_tokens_file",
   ))
@@ -72,8 +75,8 @@
   });
   const pool = new PeerPool({
     secret: sharedSecret,
-    connectTimeout: CONNECT_TIMEOUT,
-    localHost: ownHost(checked),
+    connectTimeout: CONNECT_TIMEOUT_MS,
+    localHost: localHost(checked),
   });
   const server = new PeerServer({
     address: checked.daemon.peer_address,
@@ -106,9 +109,9 @@
   }
   await server.listen();
   installSignals(async () => {
-    log.info("Stops");
+    log.info("Shutting down");
     const limit = checked.daemon.stop_time_limit;
-    // The entry goes first: it needs the control group to hand over.
+    // The entry stops first because its handover needs the control group.
     for (const role of running.toReversed()) {
       await role.stop(limit);
     }
@@ -118,11 +121,13 @@
     log.info("Stopped");
   });
   await Promise.all(running.map((role) => role.start()));
-  log.info(`Version ${VERSION} is up`, { roles: checked.daemon.roles });
+  log.info(`Running version ${VERSION}`, { roles: checked.daemon.roles });
 }
 
-/** On a VM with several addresses, peers see the one from the settings. */
-function ownHost(checked: Settings): string {
+/**
+ * Source host of peer connections, so that peers see the configured address.
+ */
+function localHost(checked: Settings): string {
   const { host } = splitAddress(checked.daemon.peer_address);
   return host === ANY_HOST ? "" : host;
 }
@@ -177,7 +182,7 @@
   process.exit(ExitCode.badSettings);
 }
 
-function orExit<Value>(
+function unwrapOrExit<Value>(
   result: { isOk: true; value: Value } | { isOk: false; error: Fault },
 ): Value {
   if (result.isOk) {
--- a/apps/heroncleatd/tests/restart_test.ts
+++ b/apps/heroncleatd/tests/restart_test.ts
@@ -15,32 +15,32 @@
 const RESTARTS = 6;
 
 describe("a restarted entry", () => {
-  test("says that it is ready only once it serves", async () => {
+  test("reports healthy only once it serves requests", async () => {
     const statuses: number[] = [];
-    for (let turn = 0; turn < RESTARTS; turn += 1) {
+    for (let round = 0; round < RESTARTS; round += 1) {
       live.processes.signal("entry-2", "SIGKILL");
       await live.processes.exitOf("entry-2");
       live.restart("entry-2");
       await waitFor("The return of entry-2", {
         timeout: 15_000,
         check: async () => {
-          const answer = await live.call(1, "/v1/health").catch(() =>
+          const response = await live.call(1, "/v1/health").catch(() =>
             undefined
           );
-          return answer?.status === 200 || undefined;
+          return response?.status === 200 || undefined;
         },
       });
-      const answer = await followAnswer({
-        entries: [live.callers[1]!],
+      const response = await followAnswer({
+        entries: [live.callerAddresses[1]!],
         key: live.key,
         body: {
           model: "assistant",
           max_tokens: 2,
-          messages: [{ role: "user", content: `Letter ${turn}` }],
+          messages: [{ role: "user", content: `Letter ${round}` }],
         },
         timeout: 5000,
       });
-      statuses.push(answer.status);
+      statuses.push(response.status);
     }
     expect(statuses).toEqual(statuses.map(() => 200));
   });
