--- a/apps/heroncleatd/entry/configuration_renewer.ts
+++ b/apps/heroncleatd/entry/configuration_renewer.ts
@@ -65,8 +65,8 @@
   #take(reply: Extract<Renewal, { kind: "renewed" }>): void {
     const first = this.#follower.view.revision === 0;
     const moved = reply.catchUp.kind === "view"
-      ? this.#follower.takeView(reply.catchUp.view)
-      : this.#follower.takeEdits(reply.catchUp.edits);
+      ? this.#follower.applyView(reply.catchUp.view)
+      : this.#follower.applyEdits(reply.catchUp.edits);
     if (moved || first) {
       this.#onView(this.#follower.view);
     }
--- a/apps/heroncleatd/entry/handle_discovery.ts
+++ b/apps/heroncleatd/entry/handle_discovery.ts
@@ -19,7 +19,7 @@
   const zone = url.searchParams.get("zone") ?? parts.context.zone;
   const entries = listEntries(parts.members(), {
     zone,
-    most: MOST_ENTRIES,
+    maxEntries: MOST_ENTRIES,
     random: Math.random,
   });
   const lifetime = parts.context.entry.discovery_lifetime;
--- a/apps/heroncleatd/entry/other_entries.ts
+++ b/apps/heroncleatd/entry/other_entries.ts
@@ -7,6 +7,10 @@
 export function otherEntries(parts: EntryParts): string[] {
   const { name, zone } = parts.context;
   const others = parts.members().filter((member) => member.name !== name);
-  return listEntries(others, { zone, most: MOST_ENTRIES, random: Math.random })
+  return listEntries(others, {
+    zone,
+    maxEntries: MOST_ENTRIES,
+    random: Math.random,
+  })
     .map((entry) => entry.address);
 }
--- a/apps/heroncleatd/entry/start_membership.ts
+++ b/apps/heroncleatd/entry/start_membership.ts
@@ -76,10 +76,10 @@
     suspectTimeout: entry.suspect_timeout,
     upstreamLease: entry.upstream_lease,
     indirectProbes: INDIRECT_PROBES,
-    gossipRecords: GOSSIP_RECORDS,
+    maxGossipRecords: GOSSIP_RECORDS,
     syncInterval: SYNC_INTERVAL,
     retention: RETENTION,
-    newsFanout: NEWS_FANOUT,
+    broadcastFanout: NEWS_FANOUT,
   }, Math.random);
 }
 
--- a/packages/bench/policy/run_policy.ts
+++ b/packages/bench/policy/run_policy.ts
@@ -217,10 +217,10 @@
     const refused = offer.vmClass === "reclaimable" &&
       this.#time.now < this.#refusedUntil;
     if (refused) {
-      this.#planner.startRefused(offer, this.#time.now);
+      this.#planner.recordStartRefusal(offer, this.#time.now);
       return;
     }
-    this.#planner.started(offer);
+    this.#planner.recordStart(offer);
     const place = this.#vms.size;
     const slow = place === 1 ? this.#options.scenario.slowUpstream ?? 1 : 1;
     const vm = new SimulatedVm(`vm-${place}`, {
--- a/packages/bench/slopes/membership_slope.ts
+++ b/packages/bench/slopes/membership_slope.ts
@@ -64,10 +64,10 @@
           suspectTimeout: 1600,
           upstreamLease: 3000,
           indirectProbes: 3,
-          gossipRecords: 12,
+          maxGossipRecords: 12,
           syncInterval: 2000,
           retention: 60_000,
-          newsFanout: 64,
+          broadcastFanout: 64,
         }, createSeededRandom(place + 1)),
       );
     }
--- a/packages/capacity/capacity_effect.ts
+++ b/packages/capacity/capacity_effect.ts
@@ -1,7 +1,12 @@
 import type { Offer } from "./offer.ts";
 
-/** What the owner of the planner must ask the cloud for. @public */
+/**
+ * An action that the caller of `CapacityPlanner.plan` must carry out in the
+ * cloud.
+ *
+ * @public
+ */
 export type CapacityEffect =
   | { readonly kind: "start"; readonly offer: Offer }
-  /** Drain it first, then give it back. */
+  /** Drain the VM, then release it. */
   | { readonly kind: "stop"; readonly vm: string };
--- a/packages/capacity/capacity_planner.ts
+++ b/packages/capacity/capacity_planner.ts
@@ -5,18 +5,18 @@
 import type { Offer } from "./offer.ts";
 import { StartBackoff } from "./start_backoff.ts";
 
-/** What a plan is made from. */
-type Situation = {
-  /** Slots in use or waited for. */
+/** The input of a plan. */
+type FleetState = {
+  /** Slots that running and queued requests occupy. */
   readonly demand: number;
   readonly vms: readonly HeldVm[];
   readonly offers: readonly Offer[];
 };
 
 /**
- * Decides which VMs to hold: enough for the demand, cheapest first by price
- * and reclaim risk, and so spread that the loss of the largest zone still
- * leaves what the latency target needs.
+ * Decides which VMs to start and stop: enough for the demand, cheapest first by
+ * price and reclaim risk, and distributed so that the other zones retain the
+ * required capacity if the largest zone is lost.
  *
  * @public
  */
@@ -27,49 +27,52 @@
 
   constructor(settings: CapacitySettings) {
     this.#settings = settings;
-    this.#backoff = new StartBackoff(settings.backoff, settings.mostBackoff);
+    this.#backoff = new StartBackoff(
+      settings.initialBackoff,
+      settings.maxBackoff,
+    );
   }
 
-  startRefused(offer: Offer, now: Milliseconds): void {
-    this.#backoff.refused(offer, now);
+  recordStartRefusal(offer: Offer, now: Milliseconds): void {
+    this.#backoff.recordRefusal(offer, now);
   }
 
-  started(offer: Offer): void {
-    this.#backoff.started(offer);
+  recordStart(offer: Offer): void {
+    this.#backoff.reset(offer);
   }
 
-  plan(situation: Situation, now: Milliseconds): CapacityEffect[] {
-    const held = situation.vms.filter((vm) => vm.state !== "leaving");
-    const starts = this.#planStarts(situation, { held, now });
+  plan(fleet: FleetState, now: Milliseconds): CapacityEffect[] {
+    const held = fleet.vms.filter((vm) => vm.state !== "leaving");
+    const starts = this.#planStarts(fleet, { held, now });
     if (starts.length > 0) {
       this.#surplusSince = undefined;
       return starts.map((offer) => ({ kind: "start", offer }));
     }
-    const surplus = this.#findSurplus(situation.demand, held);
+    const surplus = this.#findSurplus(fleet.demand, held);
     if (surplus === undefined) {
       this.#surplusSince = undefined;
       return [];
     }
     this.#surplusSince ??= now;
-    if (now - this.#surplusSince < this.#settings.stopAfter) {
+    if (now - this.#surplusSince < this.#settings.scaleInDelay) {
       return [];
     }
     return [{ kind: "stop", vm: surplus.name }];
   }
 
   #planStarts(
-    situation: Situation,
+    fleet: FleetState,
     options: { held: readonly HeldVm[]; now: Milliseconds },
   ): Offer[] {
-    const planned: Slots[] = [...options.held];
+    const planned: ZoneCapacity[] = [...options.held];
     const starts: Offer[] = [];
-    while (starts.length < this.#settings.mostStarts) {
-      const lack = this.#findLack(situation.demand, planned);
-      if (lack === undefined) {
+    while (starts.length < this.#settings.maxStarts) {
+      const shortfall = this.#findShortfall(fleet.demand, planned);
+      if (shortfall === undefined) {
         return starts;
       }
-      const offer = this.#chooseOffer(situation.offers, {
-        lack,
+      const offer = this.#chooseOffer(fleet.offers, {
+        shortfall,
         now: options.now,
       });
       if (offer === undefined) {
@@ -81,31 +84,35 @@
     return starts;
   }
 
-  /** What is missing: anything, or capacity outside the largest zone. */
-  #findLack(demand: number, planned: readonly Slots[]): Lack | undefined {
-    const wanted = demand * this.#settings.headroom;
+  /** Capacity is short in total, or outside the largest zone. */
+  #findShortfall(
+    demand: number,
+    planned: readonly ZoneCapacity[],
+  ): Shortfall | undefined {
+    const required = demand * this.#settings.headroom;
     const total = sumSlots(planned);
-    const largest = largestZone(planned);
+    const largest = findLargestZone(planned);
     const surviving = total - largest.slots;
     if (surviving < demand * this.#settings.survivingShare) {
-      return { avoid: largest.zone };
+      return { excludedZone: largest.zone };
     }
-    return total < wanted ? { avoid: "" } : undefined;
+    return total < required ? { excludedZone: "" } : undefined;
   }
 
-  /** The cheapest offer that helps and was not refused lately. */
+  /** Chooses the cheapest offer that reduces the shortfall and may be tried. */
   #chooseOffer(
     offers: readonly Offer[],
-    options: { lack: Lack; now: Milliseconds },
+    options: { shortfall: Shortfall; now: Milliseconds },
   ): Offer | undefined {
     const usable = offers.filter((offer) =>
-      offer.zone !== options.lack.avoid &&
-      this.#backoff.allows(offer, options.now)
+      offer.zone !== options.shortfall.excludedZone &&
+      this.#backoff.allowsStart(offer, options.now)
     );
     let chosen: Offer | undefined;
     for (const offer of usable) {
       if (
-        chosen === undefined || this.#costOf(offer) < this.#costOf(chosen)
+        chosen === undefined ||
+        this.#expectedCost(offer) < this.#expectedCost(chosen)
       ) {
         chosen = offer;
       }
@@ -113,14 +120,14 @@
     return chosen;
   }
 
-  #costOf(offer: Offer): number {
+  #expectedCost(offer: Offer): number {
     const risk = offer.vmClass === "reclaimable"
       ? this.#settings.reclaimRisk
       : 0;
     return offer.price * (1 + risk) / offer.slots;
   }
 
-  /** The dearest VM that can go without anything lacking then. */
+  /** Returns the most expensive VM whose stop causes no shortfall. */
   #findSurplus(
     demand: number,
     held: readonly HeldVm[],
@@ -130,8 +137,8 @@
       right.price / right.slots - left.price / left.slots
     );
     for (const vm of serving) {
-      const rest = held.filter((other) => other !== vm);
-      if (this.#findLack(demand, rest) === undefined) {
+      const remaining = held.filter((other) => other !== vm);
+      if (this.#findShortfall(demand, remaining) === undefined) {
         return vm;
       }
     }
@@ -140,12 +147,12 @@
 }
 
 /** Capacity in one zone, held or offered. */
-type Slots = Pick<Offer, "zone" | "slots">;
+type ZoneCapacity = Pick<Offer, "zone" | "slots">;
 
-/** Zone in which more capacity would not help; empty for none. */
-type Lack = { readonly avoid: string };
+/** The zone whose offers don't reduce the shortfall; empty for none. */
+type Shortfall = { readonly excludedZone: string };
 
-function sumSlots(vms: readonly Slots[]): number {
+function sumSlots(vms: readonly ZoneCapacity[]): number {
   let slots = 0;
   for (const vm of vms) {
     slots += vm.slots;
@@ -153,12 +160,12 @@
   return slots;
 }
 
-function largestZone(vms: readonly Slots[]): Slots {
+function findLargestZone(vms: readonly ZoneCapacity[]): ZoneCapacity {
   const zones = new Map<string, number>();
   for (const vm of vms) {
     zones.set(vm.zone, (zones.get(vm.zone) ?? 0) + vm.slots);
   }
-  let largest: Slots = { zone: "", slots: 0 };
+  let largest: ZoneCapacity = { zone: "", slots: 0 };
   for (const [zone, slots] of zones) {
     if (slots > largest.slots) {
       largest = { zone, slots };
--- a/packages/capacity/capacity_settings.ts
+++ b/packages/capacity/capacity_settings.ts
@@ -2,17 +2,17 @@
 
 /** Settings of the capacity planner. @public */
 export type CapacitySettings = {
-  /** Slots held for each slot in use, so that queues stay short. */
+  /** Slots to hold per slot in use; more than 1 keeps queues short. */
   readonly headroom: number;
-  /** Part of the demand that must be held when the largest zone is lost. */
+  /** Share of the demand that the other zones cover if the largest is lost. */
   readonly survivingShare: number;
-  /** Extra cost, as a share of the price, that a reclaim is expected to bring. */
+  /** Expected cost of a reclaim, as a share of the price. */
   readonly reclaimRisk: number;
-  /** First and longest pause after a refused start. */
-  readonly backoff: Milliseconds;
-  readonly mostBackoff: Milliseconds;
-  /** How long more must be held than needed before a VM is stopped. */
-  readonly stopAfter: Milliseconds;
-  /** Starts asked for at once. */
-  readonly mostStarts: number;
+  /** Delay after the first refused start; doubles with each further one. */
+  readonly initialBackoff: Milliseconds;
+  readonly maxBackoff: Milliseconds;
+  /** Time for which a surplus must last before a VM is stopped. */
+  readonly scaleInDelay: Milliseconds;
+  /** Starts in one plan. */
+  readonly maxStarts: number;
 };
--- a/packages/capacity/capacity_test.ts
+++ b/packages/capacity/capacity_test.ts
@@ -6,12 +6,12 @@
   planLoads,
 } from "./mod.ts";
 
-const OFFERS: Offer[] = ["a", "b", "c", "d"].flatMap((zone, place) => [
-  { zone, vmClass: "reclaimable", price: 1 + place / 10, slots: 8 } as const,
+const OFFERS: Offer[] = ["a", "b", "c", "d"].flatMap((zone, index) => [
+  { zone, vmClass: "reclaimable", price: 1 + index / 10, slots: 8 } as const,
   { zone, vmClass: "on_demand", price: 3, slots: 8 } as const,
 ]);
 
-/** Starts all that is planned until nothing more is. */
+/** Carries out plans until none starts a VM. */
 function fillFleet(
   planner: CapacityPlanner,
   options: {
@@ -26,7 +26,7 @@
     const plan = planner.plan({ demand, vms, offers: OFFERS }, now);
     for (const effect of plan) {
       if (effect.kind === "start" && refused(effect.offer)) {
-        planner.startRefused(effect.offer, now);
+        planner.recordStartRefusal(effect.offer, now);
       } else if (effect.kind === "start") {
         const name = `vm-${vms.length}`;
         vms.push({ name, state: "serving", ...effect.offer });
@@ -42,7 +42,7 @@
 }
 
 describe("the fleet", () => {
-  test("holds the demand when any zone is lost, at the lowest price", () => {
+  test("covers the demand when any zone is lost, at the lowest price", () => {
     const vms = fillFleet(new CapacityPlanner(CAPACITY_DEFAULTS), {
       demand: 48,
     });
@@ -53,7 +53,7 @@
     expect(vms.length).toBeLessThanOrEqual(12);
   });
 
-  test("takes on-demand VMs when reclaimable ones are refused", () => {
+  test("starts on-demand VMs when reclaimable ones are refused", () => {
     const vms = fillFleet(new CapacityPlanner(CAPACITY_DEFAULTS), {
       demand: 48,
       refused: (offer) => offer.vmClass === "reclaimable",
@@ -64,34 +64,39 @@
     }
   });
 
-  test("asks a refusing zone again later, and less and less often", () => {
+  test("retries a refused start with increasing delays", () => {
     const planner = new CapacityPlanner(CAPACITY_DEFAULTS);
     const offer = OFFERS[0]!;
-    let asked = 0;
+    let startCount = 0;
     for (let now = 0; now < 60_000; now += 1000) {
       const plan = planner.plan({ demand: 8, vms: [], offers: [offer] }, now);
       for (const effect of plan) {
-        asked += effect.kind === "start" ? 1 : 0;
-        planner.startRefused(offer, now);
+        startCount += effect.kind === "start" ? 1 : 0;
+        planner.recordStartRefusal(offer, now);
       }
     }
-    expect(asked).toBeGreaterThanOrEqual(3);
-    expect(asked).toBeLessThan(12);
+    expect(startCount).toBeGreaterThanOrEqual(3);
+    expect(startCount).toBeLessThan(12);
   });
 
-  test("gives a VM back only after a lasting surplus, the dearest first", () => {
+  test("stops the most expensive VM, and only after a lasting surplus", () => {
     const planner = new CapacityPlanner(CAPACITY_DEFAULTS);
     const vms = fillFleet(planner, { demand: 48 });
-    const dear = { ...vms[0]!, name: "dear", price: 3, vmClass: "on_demand" };
-    const situation = {
+    const expensive = {
+      ...vms[0]!,
+      name: "expensive",
+      price: 3,
+      vmClass: "on_demand",
+    };
+    const fleet = {
       demand: 20,
-      vms: [...vms, dear as HeldVm],
+      vms: [...vms, expensive as HeldVm],
       offers: OFFERS,
     };
-    expect(planner.plan(situation, 1000)).toEqual([]);
-    expect(planner.plan(situation, 30_000)).toEqual([]);
-    expect(planner.plan(situation, 62_000)).toEqual([
-      { kind: "stop", vm: "dear" },
+    expect(planner.plan(fleet, 1000)).toEqual([]);
+    expect(planner.plan(fleet, 30_000)).toEqual([]);
+    expect(planner.plan(fleet, 62_000)).toEqual([
+      { kind: "stop", vm: "expensive" },
     ]);
   });
 });
@@ -104,7 +109,7 @@
     freeBytes: 100,
   });
 
-  test("go by value under the weight store's limit, over zones", () => {
+  test("are ordered by request rate within the limit, across zones", () => {
     const demands = [
       { model: "popular", rate: 50, bytes: 40 },
       { model: "rare", rate: 1, bytes: 40 },
@@ -116,7 +121,7 @@
     expect(new Set(zones).size).toBe(2);
   });
 
-  test("never exceed a host's room or repeat a model there", () => {
+  test("never exceed a host's free bytes or repeat a model there", () => {
     const demands = [
       { model: "big", rate: 5, bytes: 90 },
       { model: "small", rate: 5, bytes: 20 },
--- a/packages/capacity/held_vm.ts
+++ b/packages/capacity/held_vm.ts
@@ -1,6 +1,6 @@
 import type { VmClass } from "@heroncleat/schema";
 
-/** A VM that is held or being started. @public */
+/** A VM of the fleet, until it is released. @public */
 export type HeldVm = {
   readonly name: string;
   readonly zone: string;
--- a/packages/capacity/mod.ts
+++ b/packages/capacity/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Which VMs to hold and which models to load where, as functions of demand,
- * prices and risks.
+ * Capacity planning: which VMs to start and stop, and which models to load on
+ * which upstream, given demand, prices and reclaim risk.
  *
  * @module
  */
--- a/packages/capacity/model_demand.ts
+++ b/packages/capacity/model_demand.ts
@@ -1,8 +1,8 @@
-/** How much a model or adapter is asked for. @public */
+/** Demand for a model or adapter. @public */
 export type ModelDemand = {
   readonly model: string;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
-  /** Bytes of its weights. */
+  /** Size of the weights. */
   readonly bytes: number;
 };
--- a/packages/capacity/model_host.ts
+++ b/packages/capacity/model_host.ts
@@ -3,6 +3,6 @@
   readonly upstream: string;
   readonly zone: string;
   readonly models: readonly string[];
-  /** Bytes of weights that still fit. */
+  /** Free memory for weights. */
   readonly freeBytes: number;
 };
--- a/packages/capacity/offer.ts
+++ b/packages/capacity/offer.ts
@@ -1,11 +1,11 @@
 import type { VmClass } from "@heroncleat/schema";
 
-/** A kind of VM that the cloud offers. @public */
+/** A VM class in a zone, at the cloud's price. @public */
 export type Offer = {
   readonly zone: string;
   readonly vmClass: VmClass;
-  /** Price for an hour. */
+  /** Price per hour. */
   readonly price: number;
-  /** Requests that one such VM runs at once. */
+  /** Requests that the VM runs concurrently. */
   readonly slots: number;
 };
--- a/packages/capacity/plan_loads.ts
+++ b/packages/capacity/plan_loads.ts
@@ -1,21 +1,20 @@
 import type { ModelDemand } from "./model_demand.ts";
 import type { ModelHost } from "./model_host.ts";
 
-/** A model to load at an upstream. */
+/** A model to load on an upstream. */
 type PlannedLoad = { readonly upstream: string; readonly model: string };
 
-/** What bounds the loads. */
 type LoadLimits = {
-  /** Bytes that the weight store gives in one planning interval. */
+  /** Bytes that the weight store can transfer in one planning interval. */
   readonly storeBytes: number;
-  /** Copies of a model that should exist, in different zones. */
+  /** Target copies of a model, preferably in different zones. */
   readonly copies: number;
 };
 
 /**
- * Plans which models to load where. The weight store gives only so much at a
- * time, so loads go by value: requests a second that a byte makes servable,
- * the first copy of a model counting more than the second.
+ * Plans which models to load on which upstreams. Transfers from the weight
+ * store are limited, so loads are ordered by request rate per byte, divided by
+ * one more than the number of copies that exist.
  *
  * @public
  */
@@ -25,29 +24,36 @@
   limits: LoadLimits,
 ): PlannedLoad[] {
   const planned: PlannedLoad[] = [];
-  const free = new Map(hosts.map((host) => [host.upstream, host.freeBytes]));
-  let left = limits.storeBytes;
+  const freeBytes = new Map(
+    hosts.map((host) => [host.upstream, host.freeBytes]),
+  );
+  let remainingBytes = limits.storeBytes;
   while (true) {
-    const next = findBest(demands, hosts, { ...limits, planned, free, left });
+    const next = findBestLoad(demands, hosts, {
+      ...limits,
+      planned,
+      freeBytes,
+      remainingBytes,
+    });
     if (next === undefined) {
       return planned;
     }
     planned.push({ upstream: next.host.upstream, model: next.demand.model });
-    left -= next.demand.bytes;
-    const rest = free.get(next.host.upstream)! - next.demand.bytes;
-    free.set(next.host.upstream, rest);
+    remainingBytes -= next.demand.bytes;
+    const hostBytes = freeBytes.get(next.host.upstream)! - next.demand.bytes;
+    freeBytes.set(next.host.upstream, hostBytes);
   }
 }
 
-/** What has been planned so far. */
+/** The plan so far, with the bytes that remain. */
 type PlanState = LoadLimits & {
   readonly planned: readonly PlannedLoad[];
-  readonly free: ReadonlyMap<string, number>;
-  /** Bytes the store still gives. */
-  readonly left: number;
+  readonly freeBytes: ReadonlyMap<string, number>;
+  /** Bytes that the weight store can still transfer. */
+  readonly remainingBytes: number;
 };
 
-function findBest(
+function findBestLoad(
   demands: readonly ModelDemand[],
   hosts: readonly ModelHost[],
   state: PlanState,
@@ -55,8 +61,8 @@
   let best: { demand: ModelDemand; host: ModelHost } | undefined;
   let bestValue = 0;
   for (const demand of demands) {
-    const holders = hosts.filter((host) => holds(host, demand.model, state));
-    if (holders.length >= state.copies || demand.bytes > state.left) {
+    const holders = hosts.filter((host) => hasModel(host, demand.model, state));
+    if (holders.length >= state.copies || demand.bytes > state.remainingBytes) {
       continue;
     }
     const host = chooseHost(demand, hosts, { holders, state });
@@ -69,14 +75,14 @@
   return best;
 }
 
-function holds(host: ModelHost, model: string, state: PlanState): boolean {
+function hasModel(host: ModelHost, model: string, state: PlanState): boolean {
   return host.models.includes(model) ||
     state.planned.some((load) =>
       load.upstream === host.upstream && load.model === model
     );
 }
 
-/** The host with most room, in a zone without the model where possible. */
+/** Chooses the host with the most free bytes, preferably in a new zone. */
 function chooseHost(
   demand: ModelDemand,
   hosts: readonly ModelHost[],
@@ -84,15 +90,16 @@
 ): ModelHost | undefined {
   const { holders, state } = options;
   const zones = new Set(holders.map((host) => host.zone));
-  const room = (host: ModelHost) => state.free.get(host.upstream) ?? 0;
-  const fitting = hosts.filter((host) =>
-    !holders.includes(host) && room(host) >= demand.bytes
+  const freeBytesOf = (host: ModelHost) =>
+    state.freeBytes.get(host.upstream) ?? 0;
+  const eligible = hosts.filter((host) =>
+    !holders.includes(host) && freeBytesOf(host) >= demand.bytes
   );
-  const elsewhere = fitting.filter((host) => !zones.has(host.zone));
-  const pool = elsewhere.length > 0 ? elsewhere : fitting;
+  const inOtherZones = eligible.filter((host) => !zones.has(host.zone));
+  const pool = inOtherZones.length > 0 ? inOtherZones : eligible;
   let chosen: ModelHost | undefined;
   for (const host of pool) {
-    if (chosen === undefined || room(host) > room(chosen)) {
+    if (chosen === undefined || freeBytesOf(host) > freeBytesOf(chosen)) {
       chosen = host;
     }
   }
--- a/packages/capacity/start_backoff.ts
+++ b/packages/capacity/start_backoff.ts
@@ -1,40 +1,39 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { Offer } from "./offer.ts";
 
-/** Refusals in a row, and until when not to ask. */
-type Refusals = { count: number; until: Milliseconds };
+/** Consecutive refusals, and the time of the next permitted start. */
+type Refusals = { count: number; retryAt: Milliseconds };
 
 /**
- * Leaves a zone and class alone for a while after it refused a start, twice
- * as long after each further refusal.
+ * Exponential backoff per zone and VM class after refused starts.
  *
  * @internal
  */
 export class StartBackoff {
-  readonly #first: Milliseconds;
-  readonly #most: Milliseconds;
+  readonly #initial: Milliseconds;
+  readonly #max: Milliseconds;
   readonly #refusals = new Map<string, Refusals>();
 
-  constructor(first: Milliseconds, most: Milliseconds) {
-    this.#first = first;
-    this.#most = most;
+  constructor(initial: Milliseconds, max: Milliseconds) {
+    this.#initial = initial;
+    this.#max = max;
   }
 
-  allows(offer: Offer, now: Milliseconds): boolean {
-    return now >= (this.#refusals.get(keyOf(offer))?.until ?? 0);
+  allowsStart(offer: Offer, now: Milliseconds): boolean {
+    return now >= (this.#refusals.get(backoffKey(offer))?.retryAt ?? 0);
   }
 
-  refused(offer: Offer, now: Milliseconds): void {
-    const count = (this.#refusals.get(keyOf(offer))?.count ?? 0) + 1;
-    const pause = Math.min(this.#most, this.#first * 2 ** (count - 1));
-    this.#refusals.set(keyOf(offer), { count, until: now + pause });
+  recordRefusal(offer: Offer, now: Milliseconds): void {
+    const count = (this.#refusals.get(backoffKey(offer))?.count ?? 0) + 1;
+    const delay = Math.min(this.#max, this.#initial * 2 ** (count - 1));
+    this.#refusals.set(backoffKey(offer), { count, retryAt: now + delay });
   }
 
-  started(offer: Offer): void {
-    this.#refusals.delete(keyOf(offer));
+  reset(offer: Offer): void {
+    this.#refusals.delete(backoffKey(offer));
   }
 }
 
-function keyOf(offer: Offer): string {
+function backoffKey(offer: Offer): string {
   return `${offer.zone}/${offer.vmClass}`;
 }
--- a/packages/configuration/apply_edit.ts
+++ b/packages/configuration/apply_edit.ts
@@ -2,9 +2,9 @@
 import type { ConfigurationView, Edit } from "@heroncleat/schema";
 
 /**
- * Applies one edit in place and returns the value it replaced, null where
- * there was none. Replicas and entries share it, so that both come to the
- * same configuration.
+ * Applies one edit in place and returns the value it replaced, or `null` if
+ * there was none. Control replicas and entries both use it, so their copies of
+ * a revision are identical.
  *
  * @public
  */
--- a/packages/configuration/configuration.ts
+++ b/packages/configuration/configuration.ts
@@ -15,34 +15,34 @@
 import { emptyConfiguration } from "./empty_configuration.ts";
 import { findEditProblem } from "./find_edit_problem.ts";
 
-/** Bounds of what the state remembers. */
+/** Limits of the state that is kept. */
 type ConfigurationSettings = {
-  /** Results kept for resent changes. */
-  readonly keptResults: number;
-  readonly keptAudit: number;
-  /** Revisions that a follower can catch up by. */
-  readonly keptHistory: number;
-  readonly keptOrders: number;
-  /** Failed attempts after which an order is given up. */
-  readonly orderAttempts: number;
+  /** Results kept for repeated changes. */
+  readonly maxResults: number;
+  readonly maxAuditRecords: number;
+  /** Revisions that a follower can receive as edits instead of a full view. */
+  readonly maxHistory: number;
+  readonly maxOrders: number;
+  /** Failed attempts after which an order fails. */
+  readonly maxOrderAttempts: number;
 };
 
 const DEFAULTS: ConfigurationSettings = {
-  keptResults: 2000,
-  keptAudit: 2000,
-  keptHistory: 1000,
-  keptOrders: 500,
-  orderAttempts: 20,
+  maxResults: 2000,
+  maxAuditRecords: 2000,
+  maxHistory: 1000,
+  maxOrders: 500,
+  maxOrderAttempts: 20,
 };
 
-/** What a reader at some revision needs to reach the present one. */
+/** The update from a follower's revision to the present one. */
 type CatchUp =
   | { readonly kind: "edits"; readonly edits: readonly RevisionEdits[] }
   | { readonly kind: "view"; readonly view: ConfigurationView };
 
 /**
- * The replicated configuration: a state machine over committed commands.
- * Every replica that applies the same commands holds the same state.
+ * The replicated configuration: a deterministic state machine over committed
+ * commands.
  *
  * @public
  */
@@ -71,12 +71,15 @@
     return { revision, groups, selectors, limits, labels };
   }
 
-  /** Orders that are still to be carried out, oldest first. */
+  /** Orders without a final result, oldest first. */
   get pendingOrders(): readonly Order[] {
     return this.#state.orders.filter((order) => order.state === "pending");
   }
 
-  /** Decides a change. A resent change gets its first result again. */
+  /**
+   * Applies a change if its expected revision is the present one. A repeated
+   * change, recognized by its ID, gets its first result.
+   */
   applyChange(command: ChangeCommand): ChangeResult {
     const { change } = command;
     const earlier = this.#findResult(change);
@@ -86,18 +89,18 @@
     if (change.expectedRevision !== this.#state.revision) {
       return this.#reject(change, "conflict", describeConflict(this.#state));
     }
-    return this.#tryEdits(change);
+    return this.#applyEdits(change);
   }
 
-  /** Records a change that was refused before it came to a decision. */
+  /** Records in the audit trail a change that the operator API refused. */
   applyRefusal(command: RefusalCommand): ChangeResult {
     const { change, message } = command;
-    const result = this.#resultOf(change, { outcome: "refused", message });
-    this.#audit(change, result, []);
+    const result = this.#createResult(change, { outcome: "refused", message });
+    this.#recordAudit(change, result, []);
     return result;
   }
 
-  /** Records how an order went; a failed one stays pending for a while. */
+  /** Records an attempt. An order stays pending until it succeeds or fails. */
   applyOrderResult(command: OrderCommand): void {
     const order = this.#state.orders.find((candidate) =>
       candidate.number === command.number
@@ -111,12 +114,12 @@
     }
     order.attempts += 1;
     order.message = command.message ?? "no reason was given";
-    if (order.attempts >= this.#settings.orderAttempts) {
+    if (order.attempts >= this.#settings.maxOrderAttempts) {
       order.state = "failed";
     }
   }
 
-  /** What a reader that holds `revision` lacks. */
+  /** Returns the edits since `revision`, or the view if some aren't kept. */
   catchUpFrom(revision: number): CatchUp {
     const missing = this.#state.revision - revision;
     const edits = this.#state.history.filter((step) =>
@@ -132,8 +135,8 @@
     return this.#state.results.find((result) => result.changeId === change.id);
   }
 
-  #tryEdits(change: Change): ChangeResult {
-    // Edits are tried on a copy, so that an invalid change leaves no trace.
+  #applyEdits(change: Change): ChangeResult {
+    // Edits are applied to a copy, so that an invalid change has no effect.
     const view = structuredClone(this.view);
     const before: unknown[] = [];
     for (const edit of change.edits) {
@@ -145,9 +148,9 @@
     }
     Object.assign(this.#state, view, { revision: this.#state.revision + 1 });
     this.#enqueueOrders(change);
-    const result = this.#resultOf(change, { outcome: "accepted" });
-    this.#remember(result);
-    this.#audit(change, result, before);
+    const result = this.#createResult(change, { outcome: "accepted" });
+    this.#storeResult(result);
+    this.#recordAudit(change, result, before);
     this.#recordHistory(change.edits);
     return result;
   }
@@ -157,13 +160,13 @@
     outcome: "conflict" | "invalid",
     message: string,
   ): ChangeResult {
-    const result = this.#resultOf(change, { outcome, message });
-    this.#remember(result);
-    this.#audit(change, result, []);
+    const result = this.#createResult(change, { outcome, message });
+    this.#storeResult(result);
+    this.#recordAudit(change, result, []);
     return result;
   }
 
-  #resultOf(
+  #createResult(
     change: Change,
     decision: Pick<ChangeResult, "outcome" | "message">,
   ): ChangeResult {
@@ -171,12 +174,12 @@
     return { changeId: change.id, revision, ...decision };
   }
 
-  #remember(result: ChangeResult): void {
+  #storeResult(result: ChangeResult): void {
     this.#state.results.push(result);
-    keepLast(this.#state.results, this.#settings.keptResults);
+    truncateToLast(this.#state.results, this.#settings.maxResults);
   }
 
-  #audit(change: Change, result: ChangeResult, before: unknown[]): void {
+  #recordAudit(change: Change, result: ChangeResult, before: unknown[]): void {
     const record: AuditRecord = {
       at: change.at,
       operator: change.operator,
@@ -191,15 +194,15 @@
       record.message = result.message;
     }
     this.#state.audit.push(record);
-    keepLast(this.#state.audit, this.#settings.keptAudit);
+    truncateToLast(this.#state.audit, this.#settings.maxAuditRecords);
   }
 
   #recordHistory(edits: Edit[]): void {
     this.#state.history.push({ revision: this.#state.revision, edits });
-    keepLast(this.#state.history, this.#settings.keptHistory);
+    truncateToLast(this.#state.history, this.#settings.maxHistory);
   }
 
-  /** Orders enter the outbox in the same step as their change. */
+  /** Adds the orders of a change to the outbox in the same transition. */
   #enqueueOrders(change: Change): void {
     for (const edit of change.edits) {
       if (edit.kind !== "order_requested") {
@@ -215,12 +218,12 @@
       });
       this.#state.nextOrder += 1;
     }
-    this.#forgetOldOrders();
+    this.#pruneOrders();
   }
 
-  #forgetOldOrders(): void {
+  #pruneOrders(): void {
     const { orders } = this.#state;
-    while (orders.length > this.#settings.keptOrders) {
+    while (orders.length > this.#settings.maxOrders) {
       const oldest = orders.findIndex((order) => order.state !== "pending");
       if (oldest === -1) {
         return;
@@ -235,8 +238,8 @@
     "it again, then send the change with a new identifier.";
 }
 
-function keepLast(values: unknown[], most: number): void {
-  if (values.length > most) {
-    values.splice(0, values.length - most);
+function truncateToLast(values: unknown[], max: number): void {
+  if (values.length > max) {
+    values.splice(0, values.length - max);
   }
 }
--- a/packages/configuration/configuration_follower.ts
+++ b/packages/configuration/configuration_follower.ts
@@ -3,7 +3,7 @@
 import { emptyConfiguration } from "./empty_configuration.ts";
 
 /**
- * An entry's copy of the configuration. It only ever moves forward.
+ * An entry's copy of the configuration. Its revision never decreases.
  *
  * @public
  */
@@ -20,8 +20,8 @@
     return this.#view;
   }
 
-  /** Takes a whole view unless it is older; says whether it moved. */
-  takeView(view: ConfigurationView): boolean {
+  /** Applies a view if its revision is newer, and returns whether it was. */
+  applyView(view: ConfigurationView): boolean {
     if (view.revision <= this.#view.revision) {
       return false;
     }
@@ -29,8 +29,11 @@
     return true;
   }
 
-  /** Takes the edits that come next; says whether it moved. */
-  takeEdits(steps: readonly RevisionEdits[]): boolean {
+  /**
+   * Applies the edits that follow the present revision and skips all others.
+   * Returns whether the revision increased.
+   */
+  applyEdits(steps: readonly RevisionEdits[]): boolean {
     const start = this.#view.revision;
     const next = structuredClone(this.#view);
     for (const step of steps) {
--- a/packages/configuration/configuration_test.ts
+++ b/packages/configuration/configuration_test.ts
@@ -16,7 +16,7 @@
 }
 
 describe("a change of the configuration", () => {
-  test("of equal numbers gives one winner and one clear conflict", () => {
+  test("conflicts with another change of the same revision", () => {
     const configuration = new Configuration();
     const first = configuration.applyChange({
       kind: "change",
@@ -32,7 +32,7 @@
     expect(configuration.view.groups["old"]?.share).toBe(10);
   });
 
-  test("sent again gets its first result, even after later changes", () => {
+  test("gets its first result when repeated, even after later changes", () => {
     const configuration = new Configuration();
     const command = {
       kind: "change" as const,
@@ -47,7 +47,7 @@
     expect(configuration.view.groups["old"]?.share).toBe(20);
   });
 
-  test("with one invalid edit leaves no trace of the others", () => {
+  test("with one invalid edit applies none of its edits", () => {
     const configuration = new Configuration();
     const result = configuration.applyChange({
       kind: "change",
@@ -64,7 +64,7 @@
     expect(configuration.view.groups).toEqual({});
   });
 
-  test("keeps a group that a selector uses", () => {
+  test("can't remove a group that a selector uses", () => {
     const configuration = new Configuration();
     configuration.applyChange({
       kind: "change",
@@ -80,7 +80,7 @@
     expect(result).toMatchObject({ outcome: "invalid", revision: 1 });
   });
 
-  test("is audited with what it replaced, also when it is refused", () => {
+  test("is audited with the replaced values, also when it is refused", () => {
     const configuration = new Configuration();
     for (const [id, revision] of [["change-a", 0], ["change-b", 0]] as const) {
       configuration.applyChange({
@@ -98,10 +98,10 @@
     expect(configuration.state.audit[0]?.before).toEqual([null]);
   });
 
-  test("puts its orders into the outbox with growing numbers", () => {
+  test("adds its orders to the outbox with increasing numbers", () => {
     const configuration = new Configuration({
       ...new Configuration().state,
-    }, { orderAttempts: 2 });
+    }, { maxOrderAttempts: 2 });
     const order = { action: "load_model" as const, value: "menu" };
     configuration.applyChange({
       kind: "change",
@@ -123,7 +123,7 @@
   });
 });
 
-/** One random thing that happens to a configuration and its followers. */
+/** A random operation on a configuration and its followers. */
 const step = fc.record({
   kind: fc.constantFrom("change", "resend", "follow", "stale", "restart"),
   follower: fc.nat(2),
@@ -133,53 +133,53 @@
 });
 
 describe("entries that follow the configuration", () => {
-  test("only move forward and end where the replicas are", () => {
-    let taken = 0;
+  test("never decrease their revision and converge with the replicas", () => {
+    let stepCount = 0;
     fc.assert(
       fc.property(
         fc.array(step, { minLength: 50, maxLength: 100 }),
         (steps) => {
           const configuration = new Configuration(undefined, {
-            keptHistory: 5,
+            maxHistory: 5,
           });
           const followers = [0, 1, 2].map(() => new ConfigurationFollower());
-          const oracle = [new Map<string, number>()];
+          const expectedShares = [new Map<string, number>()];
           const sent: Change[] = [];
           const stale = followers.map(() => configuration.catchUpFrom(0));
-          for (const [place, { kind, follower, ...rest }] of steps.entries()) {
+          for (const [index, { kind, follower, ...rest }] of steps.entries()) {
             const target = followers[follower]!;
             const before = target.view.revision;
             if (kind === "change") {
               const expected = Math.max(0, configuration.revision - rest.lag);
-              const asked = change(`change-${place}`, expected, [
+              const proposed = change(`change-${index}`, expected, [
                 groupEdit(rest.group, rest.share),
               ]);
-              sent.push(asked);
+              sent.push(proposed);
               const result = configuration.applyChange({
                 kind: "change",
-                change: asked,
+                change: proposed,
               });
               expect(result.outcome).toBe(
-                rest.lag === 0 || expected === oracle.length - 1
+                rest.lag === 0 || expected === expectedShares.length - 1
                   ? "accepted"
                   : "conflict",
               );
               if (result.outcome === "accepted") {
-                const next = new Map(oracle.at(-1));
-                oracle.push(next.set(rest.group, rest.share));
+                const next = new Map(expectedShares.at(-1));
+                expectedShares.push(next.set(rest.group, rest.share));
               }
             } else if (kind === "resend" && sent.length > 0) {
-              const again = sent[place % sent.length]!;
+              const again = sent[index % sent.length]!;
               const revision = configuration.revision;
               configuration.applyChange({ kind: "change", change: again });
               expect(configuration.revision).toBe(revision);
             } else if (kind === "follow") {
-              const news = structuredClone(
+              const update = structuredClone(
                 configuration.catchUpFrom(target.view.revision),
               );
-              catchUp(target, news);
-              // Some answers are kept, and come again much later.
-              stale[follower] = rest.lag === 0 ? news : stale[follower]!;
+              catchUp(target, update);
+              // Some updates are delivered again much later.
+              stale[follower] = rest.lag === 0 ? update : stale[follower]!;
               expect(target.view.revision).toBe(configuration.revision);
             } else if (kind === "stale") {
               catchUp(target, stale[follower]!);
@@ -188,28 +188,28 @@
               continue;
             }
             expect(target.view.revision).toBeGreaterThanOrEqual(before);
-            const expected = oracle[target.view.revision]!;
+            const expected = expectedShares[target.view.revision]!;
             const shares = Object.values(target.view.groups).map((group) =>
               [group.name, group.share] as const
             );
             expect(new Map(shares)).toEqual(expected);
-            taken += 1;
+            stepCount += 1;
           }
         },
       ),
       { numRuns: RUNS, seed: 71 },
     );
-    expect(taken).toBeGreaterThan(10_000);
+    expect(stepCount).toBeGreaterThan(10_000);
   });
 });
 
 function catchUp(
   follower: ConfigurationFollower,
-  news: ReturnType<Configuration["catchUpFrom"]>,
+  update: ReturnType<Configuration["catchUpFrom"]>,
 ): void {
-  if (news.kind === "view") {
-    follower.takeView(structuredClone(news.view));
+  if (update.kind === "view") {
+    follower.applyView(structuredClone(update.view));
   } else {
-    follower.takeEdits(structuredClone(news.edits));
+    follower.applyEdits(structuredClone(update.edits));
   }
 }
--- a/packages/configuration/empty_configuration.ts
+++ b/packages/configuration/empty_configuration.ts
@@ -1,9 +1,9 @@
 import type { ConfigurationState } from "@heroncleat/schema";
 
-/** Version of the persisted form; see `migrate_configuration.ts`. */
+/** Version of the stored state; see `migrate_configuration.ts`. */
 const VERSION = 1;
 
-/** The configuration of a deployment that nobody has changed yet. @public */
+/** Returns the configuration at revision 0, before any change. @public */
 export function emptyConfiguration(): ConfigurationState {
   return {
     version: VERSION,
--- a/packages/configuration/find_edit_problem.ts
+++ b/packages/configuration/find_edit_problem.ts
@@ -2,7 +2,8 @@
 import type { ConfigurationView, Edit, Selector } from "@heroncleat/schema";
 
 /**
- * Says why an edit doesn't fit the configuration, or nothing when it does.
+ * Returns why an edit is invalid for the configuration, or `undefined` if it is
+ * valid.
  *
  * @internal
  */
@@ -40,14 +41,14 @@
   if (!Object.hasOwn(view.groups, name)) {
     return `There is no group ${name}. Remedy: see heroncleat groups.`;
   }
-  const users = Object.values(view.selectors).filter((selector) =>
+  const selectors = Object.values(view.selectors).filter((selector) =>
     selector.groups.includes(name)
   );
-  if (users.length === 0) {
+  if (selectors.length === 0) {
     return undefined;
   }
-  return `Selector ${users[0]!.name} uses group ${name}. Remedy: change or ` +
-    "remove the selector first.";
+  return `Selector ${selectors[0]!.name} uses group ${name}. Remedy: change ` +
+    "or remove the selector first.";
 }
 
 function findSelectorProblem(
--- a/packages/journal/decode_records.ts
+++ b/packages/journal/decode_records.ts
@@ -1,19 +1,19 @@
 import { recordCodec } from "./record_codec.ts";
 
-/** What a file of records holds. */
+/** The content of a record file. */
 type DecodedRecords =
   | {
     readonly kind: "whole";
     readonly payloads: readonly Buffer[];
-    /** Bytes up to the end of the last whole record. */
+    /** Bytes up to the end of the last complete record. */
     readonly length: number;
   }
   | { readonly kind: "damaged"; readonly offset: number };
 
 /**
- * Reads all records. An unfinished last record, as a crash leaves it, is left
- * out. Damage with a whole record behind it can't be explained by a crash and
- * is reported.
+ * Decodes all records of a file. A torn last record, which a crash during a
+ * write leaves, is omitted. An invalid record with a valid one after it isn't
+ * the result of a crash and is reported as damage.
  *
  * @internal
  */
--- a/packages/journal/journal.ts
+++ b/packages/journal/journal.ts
@@ -14,26 +14,27 @@
 import { syncFolder } from "./sync_folder.ts";
 import { writeFileDurably } from "./write_file_durably.ts";
 
-/** What a journal held when it was opened. */
+/** The content of a journal at the time it is opened. */
 type JournalContent = {
   readonly snapshot: LogSnapshot | undefined;
   readonly records: readonly JournalRecord[];
-  /** Bytes of an unfinished last record that were dropped. */
+  /** Bytes of the torn last record, which are dropped. */
   readonly droppedBytes: number;
 };
 
-/** One append with its place in the file sequence. */
+/** Records to append, after the snapshot if there is one. */
 type Batch = {
   readonly records: readonly JournalRecord[];
   readonly snapshot?: LogSnapshot;
 };
 
-const JOURNAL_NAME = /^journal-(\d+)\.log$/;
+const JOURNAL_FILE_PATTERN = /^journal-(\d+)\.log$/;
 
 /**
- * The synced record log of one replica in one data folder. File
- * `journal-N.log` holds the records behind `snapshot-N.bin`; a new snapshot
- * starts the next N, and the older files are removed only after that.
+ * The write-ahead log of one replica in its data folder. The file
+ * `journal-N.log` contains the records that follow `snapshot-N.bin`. A new
+ * snapshot starts generation N + 1; the files of other generations are removed
+ * once both new files are durable.
  *
  * @public
  */
@@ -51,12 +52,15 @@
     this.#generation = options.generation;
   }
 
-  /** Opens the journal of a folder and reads what it holds. */
+  /**
+   * Opens the journal of a folder and reads its content. Returns a `damaged`
+   * fault if a file is missing or invalid.
+   */
   static async open(
     folder: string,
   ): Promise<Result<{ journal: Journal; content: JournalContent }, Fault>> {
     await mkdir(folder, { recursive: true });
-    const generation = await findGeneration(folder);
+    const generation = await findLatestGeneration(folder);
     const snapshot = await readSnapshot(folder, generation);
     if (snapshot.isErr) {
       return Result.err(snapshot.error);
@@ -67,11 +71,11 @@
       return Result.err(read.error);
     }
     const handle = await open(path, "a");
-    // Drops a torn tail for good, so that no later append hides it.
+    // A record appended after a torn tail would make it look like damage.
     await handle.truncate(read.value.length);
     await handle.sync();
     await syncFolder(folder);
-    await removeOthers(folder, generation);
+    await removeOtherGenerations(folder, generation);
     const journal = new Journal(folder, { handle, generation });
     const content = {
       snapshot: snapshot.value,
@@ -81,7 +85,7 @@
     return Result.ok({ journal, content });
   }
 
-  /** Writes batches in order and syncs once. */
+  /** Writes batches in order. They are durable when the promise resolves. */
   async append(batches: readonly Batch[]): Promise<void> {
     let pending: JournalRecord[] = [];
     for (const batch of batches) {
@@ -119,19 +123,19 @@
       snapshotPath(this.#folder, next),
       recordCodec.encode(Buffer.from(JSON.stringify(snapshot))),
     );
-    // The journal's name makes the generation valid, so it comes last.
+    // Opening selects the latest journal file, so the snapshot comes first.
     await writeFileDurably(journalPath(this.#folder, next), bytes);
     await this.#handle.close();
     this.#handle = await open(journalPath(this.#folder, next), "a");
     this.#generation = next;
-    await removeOthers(this.#folder, next);
+    await removeOtherGenerations(this.#folder, next);
   }
 }
 
 /**
- * Everything that is written before one sync stands under one checksum. A
- * loss of power can keep later parts of an unsynced write and lose earlier
- * ones; a whole record behind a torn one then always means damage.
+ * Encodes all records of one sync under one checksum. A power failure can
+ * persist later blocks of an unsynced write without the earlier ones; with
+ * separate checksums that would look like damage instead of a torn tail.
  */
 function encodeBatch(records: readonly JournalRecord[]): Buffer {
   return recordCodec.encode(Buffer.from(JSON.stringify(records)));
@@ -145,10 +149,10 @@
   return join(folder, `snapshot-${generation}.bin`);
 }
 
-async function findGeneration(folder: string): Promise<number> {
+async function findLatestGeneration(folder: string): Promise<number> {
   let latest = 0;
   for (const name of await readdir(folder)) {
-    const match = JOURNAL_NAME.exec(name);
+    const match = JOURNAL_FILE_PATTERN.exec(name);
     if (match !== null) {
       latest = Math.max(latest, Number(match[1]));
     }
@@ -156,14 +160,19 @@
   return latest;
 }
 
-async function removeOthers(
+async function removeOtherGenerations(
   folder: string,
   generation: number,
 ): Promise<void> {
-  const kept = [`journal-${generation}.log`, `snapshot-${generation}.bin`];
+  const currentFiles = [
+    `journal-${generation}.log`,
+    `snapshot-${generation}.bin`,
+  ];
   for (const name of await readdir(folder)) {
-    const ours = /^(journal|snapshot)-\d+\.(log|bin)(\.new)?$/.test(name);
-    if (ours && !kept.includes(name)) {
+    const isOwned = /^(journal|snapshot)-\d+\.(log|bin)(\.new)?$/.test(
+      name,
+    );
+    if (isOwned && !currentFiles.includes(name)) {
       await unlink(join(folder, name));
     }
   }
@@ -179,14 +188,14 @@
   const path = snapshotPath(folder, generation);
   const bytes = await readFile(path).catch(undefinedWhenMissing);
   const record = bytes === undefined ? undefined : recordCodec.decode(bytes, 0);
-  const value = record === undefined ? undefined : parse(record.payload);
+  const value = record === undefined ? undefined : parseJson(record.payload);
   if (!checkLogSnapshot(value)) {
-    return Result.err(describeDamage(path, 0));
+    return Result.err(createDamageFault(path, 0));
   }
   return Result.ok(value);
 }
 
-/** Records of a file and how much of the file they take. */
+/** The records of a file, with their length in bytes. */
 type ReadRecords = {
   readonly records: JournalRecord[];
   readonly length: number;
@@ -196,19 +205,19 @@
 async function readRecords(path: string): Promise<Result<ReadRecords, Fault>> {
   const bytes = await readFile(path).catch(undefinedWhenMissing);
   if (bytes === undefined) {
-    return Result.err(describeDamage(path, 0));
+    return Result.err(createDamageFault(path, 0));
   }
   const decoded = decodeRecords(bytes);
   if (decoded.kind === "damaged") {
-    return Result.err(describeDamage(path, decoded.offset));
+    return Result.err(createDamageFault(path, decoded.offset));
   }
   const records: JournalRecord[] = [];
   for (const payload of decoded.payloads) {
-    const batch = parse(payload);
-    // Journals of earlier releases hold single records.
+    const batch = parseJson(payload);
+    // A payload is a batch, or a single record in an older format.
     for (const value of Array.isArray(batch) ? batch : [batch]) {
       if (!checkJournalRecord(value)) {
-        return Result.err(describeDamage(path, 0));
+        return Result.err(createDamageFault(path, 0));
       }
       records.push(value);
     }
@@ -217,14 +226,14 @@
   return Result.ok({ records, length: decoded.length, droppedBytes });
 }
 
-/** A missing file is damage to report; any other read error is thrown. */
+/** Maps a missing file to `undefined` and throws any other error. */
 function undefinedWhenMissing(error: NodeJS.ErrnoException): undefined {
   if (error.code !== "ENOENT") {
     throw error;
   }
 }
 
-function parse(payload: Buffer): unknown {
+function parseJson(payload: Buffer): unknown {
   try {
     return JSON.parse(payload.toString("utf8"));
   } catch {
@@ -232,7 +241,7 @@
   }
 }
 
-function describeDamage(path: string, offset: number): Fault {
+function createDamageFault(path: string, offset: number): Fault {
   return createFault(
     "damaged",
     `${path} is damaged at byte ${offset}. Remedy: move the data folder away ` +
--- a/packages/journal/journal_test.ts
+++ b/packages/journal/journal_test.ts
@@ -12,12 +12,12 @@
 import * as fc from "fast-check";
 import { Journal, readDiskIdentity } from "./mod.ts";
 
-async function openFresh() {
+async function openEmptyFolder() {
   const folder = mkdtempSync(join(tmpdir(), "heroncleat-journal-"));
   const identity = await readDiskIdentity(folder);
   const opened = await Journal.open(folder);
   if (identity.isErr || opened.isErr) {
-    throw new Error("a fresh folder must open");
+    throw new Error("failed to open an empty folder");
   }
   return { folder, id: identity.value.id, journal: opened.value.journal };
 }
@@ -34,27 +34,27 @@
 });
 
 describe("a journal", () => {
-  test("gives back what was appended, and the newest snapshot", async () => {
-    const { folder, journal } = await openFresh();
+  test("restores the latest snapshot and the records after it", async () => {
+    const { folder, journal } = await openEmptyFolder();
     await journal.append([{ records: [entry(1)] }, { records: [entry(2)] }]);
     await journal.append([
       { records: [entry(3)], snapshot: snapshot(2) },
       { records: [entry(4)] },
     ]);
     await journal.close();
-    const again = await Journal.open(folder);
-    expect(again.isOk && again.value.content).toMatchObject({
+    const reopened = await Journal.open(folder);
+    expect(reopened.isOk && reopened.value.content).toMatchObject({
       snapshot: { lastIndex: 2 },
       records: [entry(3), entry(4)],
     });
     const files = readdirSync(folder).sort();
     expect(files).toEqual(["identity.json", "journal-1.log", "snapshot-1.bin"]);
-    await (again.isOk ? again.value.journal.close() : undefined);
+    await (reopened.isOk ? reopened.value.journal.close() : undefined);
     rmSync(folder, { recursive: true });
   });
 
-  test("takes a folder without its journal for damaged, not for new", async () => {
-    const { folder, journal } = await openFresh();
+  test("reports damage when the journal file is missing", async () => {
+    const { folder, journal } = await openEmptyFolder();
     await journal.append([{ records: [entry(1)] }]);
     await journal.close();
     rmSync(join(folder, "journal-0.log"));
@@ -63,19 +63,19 @@
     rmSync(folder, { recursive: true });
   });
 
-  test("gives another identity to a folder that was emptied", async () => {
-    const { folder, id, journal } = await openFresh();
+  test("creates a new identity for an emptied folder", async () => {
+    const { folder, id, journal } = await openEmptyFolder();
     await journal.close();
     const same = await readDiskIdentity(folder);
-    expect(same.isOk && same.value).toEqual({ id, fresh: false });
+    expect(same.isOk && same.value).toEqual({ id, isNew: false });
     rmSync(folder, { recursive: true });
     const other = await readDiskIdentity(folder);
     expect(other.isOk && other.value.id).not.toBe(id);
     rmSync(folder, { recursive: true });
   });
 
-  test("loses a torn tail only, and reports any other damage", async () => {
-    const { folder, journal } = await openFresh();
+  test("drops only a torn tail, and reports any other damage", async () => {
+    const { folder, journal } = await openEmptyFolder();
     const records = Array.from({ length: 12 }, (_, n) => entry(n + 1));
     await journal.append([{ records }]);
     await journal.close();
@@ -86,13 +86,16 @@
       fc.asyncProperty(
         fc.nat(bytes.length - 1),
         fc.boolean(),
-        async (place, cut) => {
+        async (position, isTruncated) => {
           const damaged = Buffer.from(bytes);
-          damaged[place]! ^= 1 + Math.floor(random() * 255);
-          writeFileSync(path, cut ? bytes.subarray(0, place) : damaged);
+          damaged[position]! ^= 1 + Math.floor(random() * 255);
+          writeFileSync(
+            path,
+            isTruncated ? bytes.subarray(0, position) : damaged,
+          );
           const opened = await Journal.open(folder);
           if (opened.isErr) {
-            expect(cut).toBe(false);
+            expect(isTruncated).toBe(false);
             expect(opened.error.message).toContain("Remedy:");
             return;
           }
--- a/packages/journal/mod.ts
+++ b/packages/journal/mod.ts
@@ -1,6 +1,6 @@
 /**
- * A checksummed, synced record log with snapshots, and the identity of the
- * disk it lives on.
+ * A checksummed write-ahead log with snapshots, and the identity of the disk
+ * that stores it.
  *
  * @module
  */
--- a/packages/journal/read_disk_identity.ts
+++ b/packages/journal/read_disk_identity.ts
@@ -7,18 +7,19 @@
 /** The identity of a data folder. */
 type DiskIdentity = {
   readonly id: string;
-  /** Whether the folder was empty, so that the identity is new. */
-  readonly fresh: boolean;
+  /** Whether the folder was empty and the identity has just been created. */
+  readonly isNew: boolean;
 };
 
-const FILE_NAME = "identity.json";
-const FIRST_JOURNAL = "journal-0.log";
+const IDENTITY_FILE = "identity.json";
+const FIRST_JOURNAL_FILE = "journal-0.log";
 const VERSION = 1;
 
 /**
- * Reads the identity of a data folder, or gives an empty folder a new one. A
- * folder whose disk was lost so gets another identity and can't pass for the
- * replica it was.
+ * Reads the identity of a data folder, or creates one if the folder is empty.
+ * A replica that lost its disk therefore gets a new identity and isn't mistaken
+ * for the previous one. Returns a `damaged` fault if the identity is invalid,
+ * or missing from a folder with data.
  *
  * @public
  */
@@ -27,41 +28,41 @@
 ): Promise<Result<DiskIdentity, Fault>> {
   await mkdir(folder, { recursive: true });
   const names = await readdir(folder);
-  if (names.includes(FILE_NAME)) {
-    return await parseIdentity(join(folder, FILE_NAME));
+  if (names.includes(IDENTITY_FILE)) {
+    return await parseIdentity(join(folder, IDENTITY_FILE));
   }
-  const others = await findContent(folder, names);
-  if (others.length > 0) {
+  const unexpected = await findUnexpectedFiles(folder, names);
+  if (unexpected.length > 0) {
     return Result.err(createFault(
       "damaged",
-      `${folder} holds ${others[0]} but no ${FILE_NAME}. Remedy: empty the ` +
-        "folder; the replica rejoins under a new identity.",
+      `${folder} holds ${unexpected[0]} but no ${IDENTITY_FILE}. Remedy: ` +
+        "empty the folder; the replica rejoins under a new identity.",
     ));
   }
-  // The journal comes first: an identity without one means a lost journal.
-  await writeFileDurably(join(folder, FIRST_JOURNAL), Buffer.alloc(0));
+  // The journal is created first, so an identity without one means data loss.
+  await writeFileDurably(join(folder, FIRST_JOURNAL_FILE), Buffer.alloc(0));
   const id = createToken();
   const text = JSON.stringify({ version: VERSION, id });
-  await writeFileDurably(join(folder, FILE_NAME), Buffer.from(text));
-  return Result.ok({ id, fresh: true });
+  await writeFileDurably(join(folder, IDENTITY_FILE), Buffer.from(text));
+  return Result.ok({ id, isNew: true });
 }
 
-/** Names that an interrupted first start can't have left. */
-async function findContent(
+/** Returns files that an interrupted first start doesn't leave behind. */
+async function findUnexpectedFiles(
   folder: string,
   names: readonly string[],
 ): Promise<string[]> {
-  const content: string[] = [];
+  const unexpected: string[] = [];
   for (const name of names) {
     if (name.endsWith(".new")) {
       continue;
     }
     const { size } = await stat(join(folder, name));
-    if (name !== FIRST_JOURNAL || size > 0) {
-      content.push(name);
+    if (name !== FIRST_JOURNAL_FILE || size > 0) {
+      unexpected.push(name);
     }
   }
-  return content;
+  return unexpected;
 }
 
 async function parseIdentity(
@@ -70,10 +71,10 @@
   try {
     const value = JSON.parse(await readFile(path, "utf8"));
     if (typeof value.id === "string" && value.version === VERSION) {
-      return Result.ok({ id: value.id, fresh: false });
+      return Result.ok({ id: value.id, isNew: false });
     }
   } catch {
-    // Falls through: an unreadable file is reported like a malformed one.
+    // An unreadable file is reported like a malformed one.
   }
   return Result.err(createFault(
     "damaged",
--- a/packages/journal/record_codec.ts
+++ b/packages/journal/record_codec.ts
@@ -3,33 +3,33 @@
 const HEADER_BYTES = 12;
 const LENGTH_OFFSET = 4;
 const CHECKSUM_OFFSET = 8;
-/** Starts each record, so that a reader can look for the next whole one. */
-const MARK = 0x4843_4a31;
+/** First bytes of each record, by which the next record can be found. */
+const MAGIC = 0x4843_4a31;
 
-/** A decoded record and where the next one starts. */
+/** A decoded payload and the offset of the next record. */
 type DecodedRecord = { readonly payload: Buffer; readonly end: number };
 
 /**
- * The form of a record on disk: mark, length and CRC-32 as 32-bit big-endian
- * numbers, then the payload.
+ * Encodes and decodes records on disk: magic number, payload length and CRC-32
+ * of the payload as 32-bit big-endian integers, then the payload.
  *
  * @internal
  */
 export const recordCodec = {
   encode(payload: Buffer): Buffer {
     const header = Buffer.alloc(HEADER_BYTES);
-    header.writeUInt32BE(MARK, 0);
+    header.writeUInt32BE(MAGIC, 0);
     header.writeUInt32BE(payload.length, LENGTH_OFFSET);
     header.writeUInt32BE(crc32(payload), CHECKSUM_OFFSET);
     return Buffer.concat([header, payload]);
   },
 
-  /** Decodes the record at `offset`, or nothing where it isn't whole. */
+  /** Returns `undefined` if the record at `offset` is incomplete or invalid. */
   decode(bytes: Buffer, offset: number): DecodedRecord | undefined {
     if (offset + HEADER_BYTES > bytes.length) {
       return undefined;
     }
-    if (bytes.readUInt32BE(offset) !== MARK) {
+    if (bytes.readUInt32BE(offset) !== MAGIC) {
       return undefined;
     }
     const length = bytes.readUInt32BE(offset + LENGTH_OFFSET);
@@ -42,16 +42,16 @@
     return crc32(payload) === checksum ? { payload, end } : undefined;
   },
 
-  /** Whether any whole record starts at or behind `offset`. */
+  /** Whether any valid record starts at `offset` or after it. */
   hasRecordFrom(bytes: Buffer, offset: number): boolean {
-    const mark = Buffer.alloc(LENGTH_OFFSET);
-    mark.writeUInt32BE(MARK, 0);
-    let at = bytes.indexOf(mark, offset);
-    while (at !== -1) {
-      if (recordCodec.decode(bytes, at) !== undefined) {
+    const magic = Buffer.alloc(LENGTH_OFFSET);
+    magic.writeUInt32BE(MAGIC, 0);
+    let position = bytes.indexOf(magic, offset);
+    while (position !== -1) {
+      if (recordCodec.decode(bytes, position) !== undefined) {
         return true;
       }
-      at = bytes.indexOf(mark, at + 1);
+      position = bytes.indexOf(magic, position + 1);
     }
     return false;
   },
--- a/packages/journal/sync_folder.ts
+++ b/packages/journal/sync_folder.ts
@@ -1,6 +1,10 @@
 import { open } from "node:fs/promises";
 
-/** Makes created, renamed and removed names in a folder last. @internal */
+/**
+ * Makes the creation, renaming and removal of files in a folder durable.
+ *
+ * @internal
+ */
 export async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, "r");
   try {
--- a/packages/journal/write_file_durably.ts
+++ b/packages/journal/write_file_durably.ts
@@ -2,7 +2,12 @@
 import { dirname } from "node:path";
 import { syncFolder } from "./sync_folder.ts";
 
-/** Writes a whole file so that a crash leaves the old or the new one. @public */
+/**
+ * Replaces a file atomically and durably: a crash leaves either the old or the
+ * new content.
+ *
+ * @public
+ */
 export async function writeFileDurably(
   path: string,
   bytes: Buffer,
--- a/packages/ledger/ledger.ts
+++ b/packages/ledger/ledger.ts
@@ -12,13 +12,13 @@
   ResolveCommand,
 } from "@heroncleat/schema";
 
-/** Version of the persisted form; see `migrate_ledger.ts`. */
+/** Version of the stored state; see `migrate_ledger.ts`. */
 const VERSION = 1;
 
 /**
- * The replicated ledger: a state machine over committed commands that says
- * which entry may run a non-idempotent request, and which entries hold an
- * accepted one.
+ * The replicated ledger: a deterministic state machine over committed commands.
+ * Claims grant a non-idempotent request to one attempt; custody assigns an
+ * accepted request to its owner and standby.
  *
  * @public
  */
@@ -35,26 +35,28 @@
     return this.#state;
   }
 
-  /** The claim of a key, if there is one. */
   find(workspace: string, key: string): Claim | undefined {
-    return this.#state.claims[claimName(workspace, key)];
+    return this.#state.claims[claimKey(workspace, key)];
   }
 
-  /** Gives the key to the first claimant; all others learn what became of it. */
+  /**
+   * Grants the key to the first attempt. Others receive its claim as `exists`,
+   * or as `conflict` if the digest differs.
+   */
   claim(command: ClaimCommand): ClaimReply {
-    const present = this.find(command.workspace, command.key);
-    if (present === undefined || present.state === "not_run") {
-      return this.#grant(command, present);
+    const existing = this.find(command.workspace, command.key);
+    if (existing === undefined || existing.state === "not_run") {
+      return this.#grantClaim(command, existing);
     }
-    if (present.digest !== command.digest) {
-      return { outcome: "conflict", claim: present };
+    if (existing.digest !== command.digest) {
+      return { outcome: "conflict", claim: existing };
     }
-    // A claim whose answer was lost is asked for again by the same attempt.
-    const outcome = present.attempt === command.attempt ? "claimed" : "exists";
-    return { outcome, claim: present };
+    // An attempt that lost the reply repeats its claim.
+    const outcome = existing.attempt === command.attempt ? "claimed" : "exists";
+    return { outcome, claim: existing };
   }
 
-  /** Stores what became of a claim; only its own attempt may, and once. */
+  /** Stores the outcome of a claim, once and only for its own attempt. */
   resolve(command: ResolveCommand): Claim | undefined {
     const claim = this.find(command.workspace, command.key);
     if (claim === undefined || claim.attempt !== command.attempt) {
@@ -71,25 +73,25 @@
     return claim;
   }
 
-  /** Forgets what is past its retention. */
+  /** Deletes claims and custody past their retention. */
   expire(command: ExpireCommand): void {
-    const oldest = command.at - command.retention;
+    const cutoff = command.at - command.retention;
     for (const [name, claim] of Object.entries(this.#state.claims)) {
-      // An unresolved claim may still be told about, so its clock starts at
-      // the deadline of its claimant.
-      const since = claim.storedAt ?? claim.deadline;
-      if (since < oldest) {
+      // The attempt of an unresolved claim may run until its deadline, so the
+      // retention starts there.
+      const retainedFrom = claim.storedAt ?? claim.deadline;
+      if (retainedFrom < cutoff) {
         delete this.#state.claims[name];
       }
     }
     for (const [name, custody] of Object.entries(this.#state.custody)) {
-      if (custody.at < oldest) {
+      if (custody.at < cutoff) {
         delete this.#state.custody[name];
       }
     }
   }
 
-  /** Who holds a request: as moved, or as its identifier says. */
+  /** Returns the custody as last moved, or as encoded in the request ID. */
   custodyOf(request: string): Custody {
     const moved = this.#state.custody[request];
     if (moved !== undefined) {
@@ -99,20 +101,20 @@
     return { request, epoch: 1, owner, standby, at: 0 };
   }
 
-  /** Moves requests to another owner or standby, each by compare-and-set. */
+  /** Moves each request to another holder by compare-and-set on its epoch. */
   move(command: CustodyCommand): CustodyReply {
     const outcomes: CustodyOutcome[] = [];
-    for (const [place, request] of command.requests.entries()) {
-      const expected = command.expectedEpochs[place] ?? 0;
-      outcomes.push(this.#moveOne(command, { request, expected }));
+    for (const [index, request] of command.requests.entries()) {
+      const expected = command.expectedEpochs[index] ?? 0;
+      outcomes.push(this.#moveRequest(command, { request, expected }));
     }
     return { outcomes };
   }
 
-  #grant(command: ClaimCommand, present: Claim | undefined): ClaimReply {
-    // A key that was not run may be tried again, but only for the same body.
-    if (present !== undefined && present.digest !== command.digest) {
-      return { outcome: "conflict", claim: present };
+  #grantClaim(command: ClaimCommand, existing: Claim | undefined): ClaimReply {
+    // A key whose request was not run can be claimed again for the same body.
+    if (existing !== undefined && existing.digest !== command.digest) {
+      return { outcome: "conflict", claim: existing };
     }
     const claim: Claim = {
       workspace: command.workspace,
@@ -124,22 +126,22 @@
       claimedAt: command.at,
       deadline: command.deadline,
     };
-    this.#state.claims[claimName(command.workspace, command.key)] = claim;
+    this.#state.claims[claimKey(command.workspace, command.key)] = claim;
     return { outcome: "claimed", claim };
   }
 
-  #moveOne(
+  #moveRequest(
     command: CustodyCommand,
     options: { request: string; expected: number },
   ): CustodyOutcome {
     const { request, expected } = options;
-    const present = this.custodyOf(request);
+    const existing = this.custodyOf(request);
     const { owner, standby, from } = command;
-    const repeated = present.epoch === expected + 1 &&
-      present.owner === owner && present.standby === standby;
-    const holds = present.owner === from || present.standby === from;
-    if (repeated || present.epoch !== expected || !holds) {
-      return { ...describe(present), moved: repeated };
+    const isRepeated = existing.epoch === expected + 1 &&
+      existing.owner === owner && existing.standby === standby;
+    const isHolder = existing.owner === from || existing.standby === from;
+    if (isRepeated || existing.epoch !== expected || !isHolder) {
+      return { ...toOutcome(existing), moved: isRepeated };
     }
     const next: Custody = {
       request,
@@ -149,16 +151,16 @@
       at: command.at,
     };
     this.#state.custody[request] = next;
-    return { ...describe(next), moved: true };
+    return { ...toOutcome(next), moved: true };
   }
 }
 
-function describe(custody: Custody): Omit<CustodyOutcome, "moved"> {
+function toOutcome(custody: Custody): Omit<CustodyOutcome, "moved"> {
   const { request, epoch, owner, standby } = custody;
   return { request, epoch, owner, standby };
 }
 
-/** Length first, so that no workspace and key run into each other. */
-function claimName(workspace: string, key: string): string {
+/** The length prefix keeps pairs of workspace and key distinct. */
+function claimKey(workspace: string, key: string): string {
   return `${workspace.length}:${workspace}:${key}`;
 }
--- a/packages/ledger/ledger_test.ts
+++ b/packages/ledger/ledger_test.ts
@@ -17,20 +17,20 @@
 }
 
 describe("the claim of a key", () => {
-  test("belongs to the first; others learn what became of it", () => {
+  test("belongs to the first attempt; others receive its claim", () => {
     const ledger = new Ledger();
     expect(ledger.claim(claim("k", "a")).outcome).toBe("claimed");
     expect(ledger.claim(claim("k", "b")).outcome).toBe("exists");
     expect(ledger.claim(claim("k", "a")).outcome).toBe("claimed");
   });
 
-  test("with another body is a conflict", () => {
+  test("with another digest is a conflict", () => {
     const ledger = new Ledger();
     ledger.claim(claim("k", "a"));
     expect(ledger.claim(claim("k", "b", "other")).outcome).toBe("conflict");
   });
 
-  test("is not mixed up with that of another workspace", () => {
+  test("is distinct from that of another workspace", () => {
     const ledger = new Ledger();
     ledger.claim({ ...claim("2:k", "a"), workspace: "a" });
     const other = { ...claim("k", "b"), workspace: "a:2" };
@@ -63,15 +63,15 @@
   attempt: fc.constantFrom("a", "b", "c", "d"),
 });
 
-describe("claims in any order, sent again, over restarts", () => {
-  test("allow one run for each key", () => {
-    let taken = 0;
+describe("claims in any order, repeated and over restarts", () => {
+  test("allow one attempt per key to run", () => {
+    let stepCount = 0;
     fc.assert(
       fc.property(fc.array(step, { minLength: 30, maxLength: 60 }), (steps) => {
         let ledger = new Ledger();
         const runs = new Map<string, string>();
         for (const { kind, key, attempt } of steps) {
-          taken += 1;
+          stepCount += 1;
           if (kind === "restart") {
             ledger = new Ledger(structuredClone(ledger.state));
           } else if (kind === "claim") {
@@ -89,12 +89,13 @@
               state: kind,
               at: 1,
             };
-            const before = ledger.find("bistro", key)?.state;
+            const previousState = ledger.find("bistro", key)?.state;
             ledger.resolve(command);
-            // The runner itself says that it did not run: the key is free.
-            const freed = kind === "not_run" && before === "claimed" &&
+            // The attempt that holds the claim reports that it did not run.
+            const isReleased = kind === "not_run" &&
+              previousState === "claimed" &&
               runs.get(key) === attempt;
-            if (freed) {
+            if (isReleased) {
               runs.delete(key);
             }
           }
@@ -102,7 +103,7 @@
       }),
       { numRuns: RUNS, seed: 72 },
     );
-    expect(taken).toBeGreaterThan(10_000);
+    expect(stepCount).toBeGreaterThan(10_000);
   });
 });
 
@@ -121,33 +122,33 @@
     at: 0,
   });
 
-  test("starts with the holders that the identifier names", () => {
+  test("starts with the owner and standby of the request ID", () => {
     const custody = new Ledger().custodyOf(request);
     expect(custody).toMatchObject({ epoch: 1, owner: "e1", standby: "e2" });
   });
 
-  test("goes to one of two that ask at once", () => {
+  test("goes to one of two concurrent claimants", () => {
     const ledger = new Ledger();
-    const taken = ledger.move(move("e2", "", { epoch: 1, from: "e2" }));
+    const first = ledger.move(move("e2", "", { epoch: 1, from: "e2" }));
     const late = ledger.move(move("e1", "e3", { epoch: 1, from: "e1" }));
-    expect(taken.outcomes[0]?.moved).toBe(true);
+    expect(first.outcomes[0]?.moved).toBe(true);
     expect(late.outcomes[0]).toMatchObject({ moved: false, owner: "e2" });
   });
 
-  test("answers a repeated move like the first", () => {
+  test("returns the same reply to a repeated move", () => {
     const ledger = new Ledger();
     const command = move("e2", "", { epoch: 1, from: "e2" });
     expect(ledger.move(command)).toEqual(ledger.move(command));
   });
 
-  test("is not moved by a command that was overtaken by another", () => {
+  test("is not moved by a command with an outdated epoch", () => {
     const ledger = new Ledger();
     ledger.move(move("e1", "e3", { epoch: 1, from: "e1" }));
     const late = ledger.move(move("e1", "e4", { epoch: 1, from: "e1" }));
     expect(late.outcomes[0]).toMatchObject({ moved: false, standby: "e3" });
   });
 
-  test("can't be taken by an entry that never held the request", () => {
+  test("can't be taken by an entry that isn't a holder", () => {
     const ledger = new Ledger();
     const reply = ledger.move(move("e9", "", { epoch: 1, from: "e9" }));
     expect(reply.outcomes[0]?.moved).toBe(false);
--- a/packages/ledger/migrate_ledger.ts
+++ b/packages/ledger/migrate_ledger.ts
@@ -5,9 +5,10 @@
 } from "@heroncleat/schema";
 
 /**
- * Reads a persisted ledger of any version that was ever written. There is
- * one so far; a later version adds its step here.
+ * Validates a stored ledger and returns it in the present version. Version 1 is
+ * the only one, so there are no migration steps.
  *
+ * @throws {Error} if the version is unknown or the state is invalid.
  * @public
  */
 export function migrateLedger(value: unknown): LedgerState {
--- a/packages/membership/choose_standby.ts
+++ b/packages/membership/choose_standby.ts
@@ -2,8 +2,10 @@
 import type { MemberRecord } from "@heroncleat/schema";
 
 /**
- * The entry that holds the copy of a request: alive, and in another zone than
- * the owner wherever there is one. An excluded entry is better than none.
+ * Chooses the entry that stores the copy of a request: a random alive one,
+ * preferably in another zone than the owner. Excluded entries are used only
+ * if no other is alive. Returns `undefined` if there is no alive entry besides
+ * the owner.
  *
  * @public
  */
@@ -15,11 +17,13 @@
   const candidates = members.filter((member) =>
     member.state === "alive" && member.name !== options.owner
   );
-  const fresh = candidates.filter((member) =>
+  const notExcluded = candidates.filter((member) =>
     !options.exclude.includes(member.name)
   );
-  const elsewhere = fresh.filter((member) => member.zone !== owner?.zone);
-  const pools = [elsewhere, fresh, candidates];
+  const inOtherZones = notExcluded.filter((member) =>
+    member.zone !== owner?.zone
+  );
+  const pools = [inOtherZones, notExcluded, candidates];
   const pool = pools.find((members) => members.length > 0) ?? [];
   return pool[Math.floor(options.random() * pool.length)];
 }
--- a/packages/membership/gossip_buffer.ts
+++ b/packages/membership/gossip_buffer.ts
@@ -4,10 +4,10 @@
 import type { MemberTable } from "./member_table.ts";
 import type { UpstreamTable } from "./upstream_table.ts";
 
-/** Times the logarithm of the group's size that a record is passed on. */
+/** Transmissions per record, as a multiple of log2 of the group size. */
 const TRANSMISSION_FACTOR = 3;
 
-/** What gossip is taken from. */
+/** The state that gossip is selected from. */
 type GossipSource = {
   readonly self: MemberRecord;
   readonly members: MemberTable;
@@ -16,28 +16,36 @@
 };
 
 /**
- * Chooses the news that rides on a message: the records passed on least
- * often, each for a bounded number of times.
+ * Selects the records to piggyback on a message: those transmitted least
+ * often first, each a bounded number of times.
  *
  * @internal
  */
 export const gossipBuffer = {
-  take(source: GossipSource, most: number): Gossip {
+  select(source: GossipSource, maxRecords: number): Gossip {
     const { members, upstreams, now } = source;
     const limit = transmissionLimit(members.reachable().length);
-    const chosenMembers = leastSent(members.all(), { limit, most });
-    const chosenUpstreams = leastSent<KnownUpstream>(upstreams.all(), {
+    const selectedMembers = selectLeastTransmitted(members.all(), {
       limit,
-      most,
+      maxRecords,
     });
+    const selectedUpstreams = selectLeastTransmitted<KnownUpstream>(
+      upstreams.all(),
+      {
+        limit,
+        maxRecords,
+      },
+    );
     return {
-      members: [source.self, ...chosenMembers.map((member) => member.record)],
-      upstreams: chosenUpstreams.map((known) => upstreams.toRecord(known, now)),
+      members: [source.self, ...selectedMembers.map((member) => member.record)],
+      upstreams: selectedUpstreams.map((known) =>
+        upstreams.toRecord(known, now)
+      ),
     };
   },
 
-  /** Everything that is known. */
-  whole(source: GossipSource): Gossip {
+  /** All records, for an exchange of the full state. */
+  fullState(source: GossipSource): Gossip {
     const { members, upstreams, now } = source;
     return {
       members: [
@@ -55,17 +63,17 @@
   return TRANSMISSION_FACTOR * Math.ceil(Math.log2(size + 2));
 }
 
-function leastSent<Known extends { transmissions: number }>(
-  all: Iterable<Known>,
-  options: { limit: number; most: number },
-): Known[] {
-  const waiting = [...all].filter((known) =>
-    known.transmissions < options.limit
+function selectLeastTransmitted<Item extends { transmissions: number }>(
+  all: Iterable<Item>,
+  options: { limit: number; maxRecords: number },
+): Item[] {
+  const eligible = [...all].filter((item) =>
+    item.transmissions < options.limit
   );
-  waiting.sort((left, right) => left.transmissions - right.transmissions);
-  const chosen = waiting.slice(0, options.most);
-  for (const known of chosen) {
-    known.transmissions += 1;
+  eligible.sort((left, right) => left.transmissions - right.transmissions);
+  const selected = eligible.slice(0, options.maxRecords);
+  for (const item of selected) {
+    item.transmissions += 1;
   }
-  return chosen;
+  return selected;
 }
--- a/packages/membership/known_member.ts
+++ b/packages/membership/known_member.ts
@@ -1,10 +1,10 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { MemberRecord } from "@heroncleat/schema";
 
-/** A member with what this entry remembers about it. @internal */
+/** The latest record of a member, with its local state. @internal */
 export type KnownMember = {
   record: MemberRecord;
-  changedAt: Milliseconds;
-  /** Messages the present record has ridden on. */
+  stateChangedAt: Milliseconds;
+  /** Messages that have carried the present record. */
   transmissions: number;
 };
--- a/packages/membership/known_upstream.ts
+++ b/packages/membership/known_upstream.ts
@@ -1,11 +1,11 @@
 import type { Milliseconds } from "@heroncleat/base";
 import type { Announcement } from "@heroncleat/schema";
 
-/** An upstream with what this entry remembers about it. @internal */
+/** The latest announcement of an upstream, with its local state. @internal */
 export type KnownUpstream = {
   announcement: Announcement;
   heardBy: string;
-  heardAt: Milliseconds;
+  lastSeenAt: Milliseconds;
   transmissions: number;
-  lapsed: boolean;
+  isLapsed: boolean;
 };
--- a/packages/membership/list_entries.ts
+++ b/packages/membership/list_entries.ts
@@ -1,30 +1,31 @@
 import type { Random } from "@heroncleat/base";
 import type { MemberRecord } from "@heroncleat/schema";
 
-/** An entry as callers are told of it. */
+/** An entry in the response to a discovery request. */
 type ListedEntry = { readonly address: string; readonly zone: string };
 
 /**
- * The entries a caller may use: only ones that are alive, the caller's zone
- * first, in random order within a zone so that callers spread.
+ * Lists at most `maxEntries` alive entries for a caller, those in the
+ * caller's zone first. The order is random otherwise, which distributes the
+ * callers.
  *
  * @public
  */
 export function listEntries(
   members: readonly MemberRecord[],
-  options: { zone: string; most: number; random: Random },
+  options: { zone: string; maxEntries: number; random: Random },
 ): ListedEntry[] {
-  const placed = members
+  const ranked = members
     .filter((member) => member.state === "alive")
     .map((member) => ({
       member,
       distance: member.zone === options.zone ? 0 : 1,
-      draw: options.random(),
+      randomKey: options.random(),
     }));
-  placed.sort((left, right) =>
-    left.distance - right.distance || left.draw - right.draw
+  ranked.sort((left, right) =>
+    left.distance - right.distance || left.randomKey - right.randomKey
   );
-  return placed.slice(0, options.most).map(({ member }) => ({
+  return ranked.slice(0, options.maxEntries).map(({ member }) => ({
     address: member.callerAddress,
     zone: member.zone,
   }));
--- a/packages/membership/member_table.ts
+++ b/packages/membership/member_table.ts
@@ -2,8 +2,8 @@
 import type { MemberRecord } from "@heroncleat/schema";
 import type { KnownMember } from "./known_member.ts";
 
-/** Which state wins between records of one incarnation. */
-const STATE_RANK: Record<MemberRecord["state"], number> = {
+/** Precedence of states among records of the same incarnation. */
+const STATE_PRECEDENCE: Record<MemberRecord["state"], number> = {
   alive: 0,
   suspect: 1,
   leaving: 2,
@@ -11,7 +11,7 @@
 };
 
 /**
- * The members an entry knows, itself excluded.
+ * The latest record of each member, without this entry's own.
  *
  * @internal
  */
@@ -26,39 +26,42 @@
     return this.#members.values();
   }
 
-  /** Members that may still be reached. */
+  /** Members in any state but dead. */
   reachable(): KnownMember[] {
     return [...this.#members.values()].filter((member) =>
       member.record.state !== "dead"
     );
   }
 
-  /** Takes a record when it is news; says whether the state changed. */
+  /**
+   * Merges a record if it supersedes the present one, and returns whether the
+   * state or the incarnation changed.
+   */
   merge(record: MemberRecord, now: Milliseconds): boolean {
     const known = this.#members.get(record.name);
     if (known === undefined) {
       this.#members.set(record.name, {
         record,
-        changedAt: now,
+        stateChangedAt: now,
         transmissions: 0,
       });
       return true;
     }
-    if (!isNewer(record, known.record)) {
-      noteRevision(known, record);
+    if (!supersedes(record, known.record)) {
+      mergeRevision(known, record);
       return false;
     }
-    const changed = known.record.state !== record.state ||
+    const isChanged = known.record.state !== record.state ||
       known.record.incarnation !== record.incarnation;
     known.record = {
       ...record,
       revision: Math.max(record.revision, known.record.revision),
     };
     known.transmissions = 0;
-    if (changed) {
-      known.changedAt = now;
+    if (isChanged) {
+      known.stateChangedAt = now;
     }
-    return changed;
+    return isChanged;
   }
 
   remove(name: string): void {
@@ -66,16 +69,16 @@
   }
 }
 
-function isNewer(record: MemberRecord, known: MemberRecord): boolean {
+function supersedes(record: MemberRecord, known: MemberRecord): boolean {
   if (record.incarnation !== known.incarnation) {
     return record.incarnation > known.incarnation;
   }
-  return STATE_RANK[record.state] > STATE_RANK[known.state];
+  return STATE_PRECEDENCE[record.state] > STATE_PRECEDENCE[known.state];
 }
 
-function noteRevision(known: KnownMember, record: MemberRecord): void {
-  const same = record.incarnation === known.record.incarnation;
-  if (same && record.revision > known.record.revision) {
+function mergeRevision(known: KnownMember, record: MemberRecord): void {
+  const isSameIncarnation = record.incarnation === known.record.incarnation;
+  if (isSameIncarnation && record.revision > known.record.revision) {
     known.record = { ...known.record, revision: record.revision };
     known.transmissions = 0;
   }
--- a/packages/membership/membership.ts
+++ b/packages/membership/membership.ts
@@ -18,17 +18,16 @@
 import { UpstreamTable } from "./upstream_table.ts";
 
 /**
- * How long an entry that starts waits for another's whole view before it
- * counts as informed without one, as the first of a deployment does. A view
- * takes 20 to 100 ms between processes of one machine; the rest is for
- * connections that have to be made anew.
+ * Time after its start at which an entry counts as synchronized even if no
+ * other member has sent it any upstreams, as in a new deployment.
  */
-const INFORMED_WITHIN: Milliseconds = 1000;
+const INITIAL_SYNC_TIMEOUT: Milliseconds = 1000;
 
 /**
- * Failure detection and dissemination between entries, after SWIM (Das, Gupta
- * and Motivala, 2002): random probes, indirect probes, suspicion that its
- * subject can refute, and news that rides on the probes.
+ * Failure detection and dissemination between entries, based on SWIM (Das,
+ * Gupta and Motivala, 2002): random probes, indirect probes, suspicion that
+ * the suspected member can refute, and gossip piggybacked on the probes. A
+ * state machine without I/O: it takes events and returns effects.
  *
  * @public
  */
@@ -40,10 +39,10 @@
   readonly #prober: Prober;
   #self: MemberRecord;
   #now: Milliseconds = 0;
-  #syncAt: Milliseconds = 0;
+  #nextSyncAt: Milliseconds = 0;
   #lastTick: Milliseconds | undefined;
   #startedAt: Milliseconds | undefined;
-  #isInformed = false;
+  #isSynchronized = false;
   #effects: MembershipEffect[] = [];
 
   constructor(settings: MembershipSettings, random: Random) {
@@ -55,10 +54,10 @@
       random,
       members: this.#members,
       send: (address, message) => {
-        const gossip = this.#gossip(this.#now);
+        const gossip = this.#selectGossip(this.#now);
         this.#send(address, { ...message, gossip });
       },
-      onSilent: (name) => this.#suspect(name, this.#now),
+      onProbeFailed: (name) => this.#onProbeFailed(name, this.#now),
     });
     this.#self = {
       name: settings.name,
@@ -75,16 +74,16 @@
     return this.#self;
   }
 
-  /** All known members, this entry first. */
+  /** All members in the table, whatever their state, with this entry first. */
   get members(): MemberRecord[] {
     const others = [...this.#members.all()].map((member) => member.record);
     return [this.#self, ...others];
   }
 
-  /** Upstreams whose announcement still stands. */
+  /** Upstreams whose lease has not lapsed. */
   upstreams(now: Milliseconds): UpstreamRecord[] {
     return [...this.#upstreams.all()]
-      .filter((known) => !known.lapsed)
+      .filter((known) => !known.isLapsed)
       .map((known) => this.#upstreams.toRecord(known, now));
   }
 
@@ -105,7 +104,7 @@
         this.#self = { ...this.#self, revision: event.revision };
         break;
       case "leave":
-        this.#leave();
+        this.#onLeave();
         break;
       default:
         unreachable(event);
@@ -114,95 +113,98 @@
   }
 
   #onTick(now: Milliseconds): void {
-    this.#forgiveOwnPause(now);
+    this.#extendTimeoutsAfterPause(now);
     this.#startedAt ??= now;
-    if (now - this.#startedAt >= INFORMED_WITHIN) {
-      this.#becomeInformed();
+    if (now - this.#startedAt >= INITIAL_SYNC_TIMEOUT) {
+      this.#becomeSynchronized();
     }
-    this.#lapseUpstreams(now);
+    this.#lapseUpstreamLeases(now);
     this.#prober.tick(now);
-    this.#buryMembers(now);
-    if (now >= this.#syncAt) {
-      this.#syncAt = now + this.#settings.syncInterval;
-      this.#syncWithOne(now);
+    this.#expireMembers(now);
+    if (now >= this.#nextSyncAt) {
+      this.#nextSyncAt = now + this.#settings.syncInterval;
+      this.#syncWithRandomMember(now);
     }
   }
 
   /**
-   * Guards callers of an entry that has just started from refusals for want
-   * of upstreams: of 6 requests sent at the first sign of health after a
-   * restart, 2 were refused before readiness waited for this, 0 since
-   * (measured with real processes).
+   * Emits the `informed` effect once. An entry that accepts requests before
+   * this refuses them, because its upstream table is empty.
    */
-  #becomeInformed(): void {
-    if (!this.#isInformed) {
-      this.#isInformed = true;
+  #becomeSynchronized(): void {
+    if (!this.#isSynchronized) {
+      this.#isSynchronized = true;
       this.#effects.push({ kind: "informed" });
     }
   }
 
   /**
-   * After a pause of this process, answers and announcements that did arrive
-   * are still waiting to be read, so peers and upstreams get that much more
-   * time.
+   * Extends all timeouts by a pause of this process: acks and announcements
+   * that arrived during the pause are still unread.
    */
-  #forgiveOwnPause(now: Milliseconds): void {
-    const since = now - (this.#lastTick ?? now);
+  #extendTimeoutsAfterPause(now: Milliseconds): void {
+    const pause = now - (this.#lastTick ?? now);
     this.#lastTick = now;
-    if (since < this.#settings.probeTimeout) {
+    if (pause < this.#settings.probeTimeout) {
       return;
     }
-    this.#upstreams.extend(since);
-    this.#prober.extend(since);
+    this.#upstreams.extendLeases(pause);
+    this.#prober.extendDeadlines(pause);
     for (const member of this.#members.all()) {
       if (member.record.state === "suspect") {
-        member.changedAt += since;
+        member.stateChangedAt += pause;
       }
     }
   }
 
-  #lapseUpstreams(now: Milliseconds): void {
-    for (const name of this.#upstreams.lapse(now)) {
+  #lapseUpstreamLeases(now: Milliseconds): void {
+    for (const name of this.#upstreams.markLapsed(now)) {
       this.#effects.push({ kind: "upstream_lapsed", name });
     }
-    this.#upstreams.forget(now - this.#settings.retention);
+    this.#upstreams.removeLapsed(now - this.#settings.retention);
   }
 
-  /** Suspects that never answered are dead; old dead ones are forgotten. */
-  #buryMembers(now: Milliseconds): void {
+  /**
+   * Declares suspects dead after the suspicion timeout, and removes dead
+   * members after the retention time.
+   */
+  #expireMembers(now: Milliseconds): void {
     for (const member of this.#members.all()) {
-      const since = now - member.changedAt;
+      const elapsed = now - member.stateChangedAt;
       const { state } = member.record;
-      if (state === "suspect" && since > this.#settings.suspectTimeout) {
-        this.#merge({ ...member.record, state: "dead" }, now);
+      if (state === "suspect" && elapsed > this.#settings.suspectTimeout) {
+        this.#mergeMember({ ...member.record, state: "dead" }, now);
       }
-      if (state === "dead" && since > this.#settings.retention) {
+      if (state === "dead" && elapsed > this.#settings.retention) {
         this.#members.remove(member.record.name);
       }
     }
   }
 
-  #suspect(name: string, now: Milliseconds): void {
+  #onProbeFailed(name: string, now: Milliseconds): void {
     const member = this.#members.get(name);
     if (member?.record.state === "alive") {
-      this.#merge({ ...member.record, state: "suspect" }, now);
+      this.#mergeMember({ ...member.record, state: "suspect" }, now);
     }
-    // A leaving member that no longer answers has left.
+    // A leaving member that fails a probe has shut down; it isn't suspected.
     if (member?.record.state === "leaving") {
-      this.#merge({ ...member.record, state: "dead" }, now);
+      this.#mergeMember({ ...member.record, state: "dead" }, now);
     }
   }
 
-  /** One member now and then, dead ones and seeds too, so partitions heal. */
-  #syncWithOne(now: Milliseconds): void {
-    const known = [...this.#members.all()];
-    const addresses = new Set(known.map((member) => member.record.address));
+  /**
+   * Exchanges the full state with a random member and with seeds that aren't
+   * members yet. Dead members are included, so that a healed partition merges.
+   */
+  #syncWithRandomMember(now: Milliseconds): void {
+    const members = [...this.#members.all()];
+    const addresses = new Set(members.map((member) => member.record.address));
     for (const seed of this.#settings.seeds) {
       if (seed !== this.#settings.address && !addresses.has(seed)) {
         this.#sendSync(seed, { reply: true, now });
       }
     }
-    const partner = shuffle(known, this.#random)[0];
+    const partner = shuffle(members, this.#random)[0];
     if (partner !== undefined) {
       this.#sendSync(partner.record.address, { reply: true, now });
     }
@@ -232,7 +234,7 @@
 
   #onSync(sync: Sync, now: Milliseconds): void {
     if (sync.gossip.upstreams.length > 0) {
-      this.#becomeInformed();
+      this.#becomeSynchronized();
     }
     const sender = this.#members.get(sync.from);
     if (sync.reply && sender !== undefined) {
@@ -242,24 +244,24 @@
 
   #onAnnouncement(announcement: Announcement, now: Milliseconds): void {
     const record = { announcement, heardBy: this.#settings.name, age: 0 };
-    const before = this.#upstreams.get(announcement.name);
-    const wasServing = before?.announcement.state !== "leaving";
+    const previous = this.#upstreams.get(announcement.name);
+    const wasServing = previous?.announcement.state !== "leaving";
     if (!this.#mergeUpstream(record, now)) {
       return;
     }
     if (announcement.state === "leaving" && wasServing) {
-      this.#tellAll({ members: [this.#self], upstreams: [record] });
+      this.#broadcast({ members: [this.#self], upstreams: [record] });
     }
   }
 
-  #leave(): void {
+  #onLeave(): void {
     this.#self = { ...this.#self, state: "leaving" };
-    this.#tellAll({ members: [this.#self], upstreams: [] });
+    this.#broadcast({ members: [this.#self], upstreams: [] });
   }
 
-  #tellAll(gossip: Gossip): void {
+  #broadcast(gossip: Gossip): void {
     const targets = shuffle(this.#members.reachable(), this.#random);
-    for (const target of targets.slice(0, this.#settings.newsFanout)) {
+    for (const target of targets.slice(0, this.#settings.broadcastFanout)) {
       this.#send(target.record.address, {
         kind: "news",
         from: this.#settings.name,
@@ -270,14 +272,14 @@
 
   #mergeGossip(gossip: Gossip, now: Milliseconds): void {
     for (const record of gossip.members) {
-      this.#merge(record, now);
+      this.#mergeMember(record, now);
     }
     for (const record of gossip.upstreams) {
       this.#mergeUpstream(record, now);
     }
   }
 
-  #merge(record: MemberRecord, now: Milliseconds): void {
+  #mergeMember(record: MemberRecord, now: Milliseconds): void {
     if (record.name === this.#settings.name) {
       this.#refute(record);
       return;
@@ -287,14 +289,14 @@
     }
   }
 
-  /** Answers a rumour about this entry with a higher incarnation. */
+  /** Refutes a wrong record of this entry by raising its incarnation. */
   #refute(record: MemberRecord): void {
-    const stale = record.incarnation < this.#self.incarnation;
-    const same = record.incarnation === this.#self.incarnation &&
+    const isStale = record.incarnation < this.#self.incarnation;
+    const isSameState = record.incarnation === this.#self.incarnation &&
       record.state === this.#self.state;
-    const harmless = record.incarnation === this.#self.incarnation &&
+    const isAlive = record.incarnation === this.#self.incarnation &&
       record.state === "alive";
-    if (stale || same || harmless) {
+    if (isStale || isSameState || isAlive) {
       return;
     }
     this.#self = { ...this.#self, incarnation: record.incarnation + 1 };
@@ -305,14 +307,17 @@
       return false;
     }
     const known = this.#upstreams.get(record.announcement.name)!;
-    if (!known.lapsed) {
+    if (!known.isLapsed) {
       this.#effects.push({ kind: "upstream_changed", upstream: record });
     }
     return true;
   }
 
-  #gossip(now: Milliseconds): Gossip {
-    return gossipBuffer.take(this.#source(now), this.#settings.gossipRecords);
+  #selectGossip(now: Milliseconds): Gossip {
+    return gossipBuffer.select(
+      this.#gossipSource(now),
+      this.#settings.maxGossipRecords,
+    );
   }
 
   #sendSync(
@@ -323,11 +328,11 @@
       kind: "sync",
       from: this.#settings.name,
       reply: options.reply,
-      gossip: gossipBuffer.whole(this.#source(options.now)),
+      gossip: gossipBuffer.fullState(this.#gossipSource(options.now)),
     });
   }
 
-  #source(now: Milliseconds) {
+  #gossipSource(now: Milliseconds) {
     return {
       self: this.#self,
       members: this.#members,
--- a/packages/membership/membership_effect.ts
+++ b/packages/membership/membership_effect.ts
@@ -4,7 +4,11 @@
   UpstreamRecord,
 } from "@heroncleat/schema";
 
-/** What the owner of the membership state machine must do. @public */
+/**
+ * An action that the caller of `Membership.handle` must carry out.
+ *
+ * @public
+ */
 export type MembershipEffect =
   | {
     readonly kind: "send";
@@ -14,5 +18,8 @@
   | { readonly kind: "member_changed"; readonly member: MemberRecord }
   | { readonly kind: "upstream_changed"; readonly upstream: UpstreamRecord }
   | { readonly kind: "upstream_lapsed"; readonly name: string }
-  /** This entry knows what the others know, or nobody tells it. Sent once. */
+  /**
+   * This entry has received the upstreams of another member, or the wait for
+   * them timed out. Emitted once.
+   */
   | { readonly kind: "informed" };
--- a/packages/membership/membership_event.ts
+++ b/packages/membership/membership_event.ts
@@ -1,6 +1,6 @@
 import type { Announcement, MembershipMessage } from "@heroncleat/schema";
 
-/** What membership reacts to. @public */
+/** An input of the membership state machine. @public */
 export type MembershipEvent =
   | { readonly kind: "tick" }
   | { readonly kind: "message"; readonly message: MembershipMessage }
--- a/packages/membership/membership_settings.ts
+++ b/packages/membership/membership_settings.ts
@@ -1,30 +1,30 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** Settings of an entry's part in membership. @public */
+/** Settings of one entry's membership. @public */
 export type MembershipSettings = {
   readonly name: string;
-  /** host:port for peers. */
+  /** `host:port` for peers. */
   readonly address: string;
-  /** host:port for callers. */
+  /** `host:port` for callers. */
   readonly callerAddress: string;
   readonly zone: string;
-  /** First incarnation; wall-clock time keeps it growing over restarts. */
+  /** First incarnation; wall-clock time makes it increase with each restart. */
   readonly incarnation: number;
-  /** Peer addresses that are asked until they are known as members. */
+  /** Peer addresses to sync with until they are in the member table. */
   readonly seeds: readonly string[];
   readonly probeInterval: Milliseconds;
   readonly probeTimeout: Milliseconds;
   readonly suspectTimeout: Milliseconds;
-  /** How long an upstream's announcement stands. */
+  /** Lease of an upstream, renewed by each announcement. */
   readonly upstreamLease: Milliseconds;
-  /** Members asked to probe a silent one. */
+  /** Members requested to probe one that didn't acknowledge a ping. */
   readonly indirectProbes: number;
-  /** Records of each kind that ride on one message. */
-  readonly gossipRecords: number;
-  /** Time between exchanges of the whole view with one member. */
+  /** Piggybacked member records and upstream records, each, per message. */
+  readonly maxGossipRecords: number;
+  /** Interval between exchanges of the full state with a random member. */
   readonly syncInterval: Milliseconds;
-  /** How long a dead member or a lapsed upstream is remembered. */
+  /** Time after which a dead member or a lapsed upstream is removed. */
   readonly retention: Milliseconds;
-  /** Members that urgent news is sent to directly. */
-  readonly newsFanout: number;
+  /** Members that receive a departure or shutdown directly, without gossip. */
+  readonly broadcastFanout: number;
 };
--- a/packages/membership/membership_test.ts
+++ b/packages/membership/membership_test.ts
@@ -9,25 +9,25 @@
 } from "./mod.ts";
 
 const RUNS = Number(process.env["FUZZ_RUNS"] ?? 1) * 40;
-const STEP = 50;
+const TICK_INTERVAL_MS = 50;
 
 type Packet = { to: string; from: string; message: MembershipMessage };
 
-/** Entries in one process: virtual time and a bag of messages. */
+/** Entries in one process, with virtual time and a simulated network. */
 class SimulatedEntries {
   readonly entries = new Map<string, Membership>();
   readonly packets: Packet[] = [];
   readonly down = new Set<string>();
-  readonly cut = new Set<string>();
+  readonly partitioned = new Set<string>();
   readonly random = createSeededRandom(3);
-  /** When each entry said that it was informed, by its name. */
-  readonly informedAt = new Map<string, number>();
+  /** Time of each entry's "informed" effect, by entry name. */
+  readonly synchronizedAt = new Map<string, number>();
   sent = 0;
   time = 0;
 
   constructor(readonly size: number) {
-    for (let place = 0; place < size; place += 1) {
-      this.start(`e${place}`);
+    for (let index = 0; index < size; index += 1) {
+      this.start(`e${index}`);
     }
   }
 
@@ -47,18 +47,18 @@
         suspectTimeout: 1600,
         upstreamLease: 3000,
         indirectProbes: 3,
-        gossipRecords: 12,
+        maxGossipRecords: 12,
         syncInterval: 2000,
         retention: 60_000,
-        newsFanout: 64,
+        broadcastFanout: 64,
       }, createSeededRandom(Number(name.slice(1)) + 1)),
     );
   }
 
-  take(from: string, effects: readonly MembershipEffect[]): void {
+  applyEffects(from: string, effects: readonly MembershipEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === "informed") {
-        this.informedAt.set(from, this.time);
+        this.synchronizedAt.set(from, this.time);
       }
       if (effect.kind === "send") {
         this.sent += 1;
@@ -68,38 +68,40 @@
     }
   }
 
-  deliver(place: number): void {
-    const [packet] = this.packets.splice(place % this.packets.length, 1);
+  deliver(index: number): void {
+    const [packet] = this.packets.splice(index % this.packets.length, 1);
     const target = packet && this.entries.get(packet.to);
-    const blocked = packet === undefined || this.down.has(packet.to) ||
-      this.cut.has(packet.to) !== this.cut.has(packet.from);
-    if (target !== undefined && !blocked) {
+    const isBlocked = packet === undefined || this.down.has(packet.to) ||
+      this.partitioned.has(packet.to) !== this.partitioned.has(packet.from);
+    if (target !== undefined && !isBlocked) {
       const event = { kind: "message" as const, message: packet!.message };
-      this.take(packet!.to, target.handle(event, this.time));
+      this.applyEffects(packet!.to, target.handle(event, this.time));
     }
   }
 
   tick(): void {
-    this.time += STEP;
+    this.time += TICK_INTERVAL_MS;
     for (const [name, membership] of this.entries) {
       if (!this.down.has(name)) {
-        this.take(name, membership.handle({ kind: "tick" }, this.time));
+        this.applyEffects(name, membership.handle({ kind: "tick" }, this.time));
       }
     }
   }
 
-  settle(milliseconds: number): void {
-    const until = this.time + milliseconds;
+  run(duration: number): void {
+    const until = this.time + duration;
     while (this.time < until) {
       this.tick();
-      for (let left = this.packets.length; left > 0; left -= 1) {
+      for (let remaining = this.packets.length; remaining > 0; remaining -= 1) {
         this.deliver(0);
       }
     }
   }
 
-  stateOf(name: string, at: string): string | undefined {
-    return this.entries.get(at)!.members.find((member) => member.name === name)
+  stateOf(name: string, observer: string): string | undefined {
+    return this.entries.get(observer)!.members.find((member) =>
+      member.name === name
+    )
       ?.state;
   }
 
@@ -108,7 +110,7 @@
       kind: "announce" as const,
       announcement: { ...ANNOUNCEMENT, ...announcement },
     };
-    this.take(at, this.entries.get(at)!.handle(event, this.time));
+    this.applyEffects(at, this.entries.get(at)!.handle(event, this.time));
   }
 }
 
@@ -132,46 +134,50 @@
 };
 
 describe("entries", () => {
-  test("find each other from a few seeds", () => {
+  test("discover each other through the seeds", () => {
     const group = new SimulatedEntries(12);
-    group.settle(5000);
+    group.run(5000);
     for (const membership of group.entries.values()) {
       expect(membership.members).toHaveLength(12);
     }
   });
 
-  test("notice a dead one, everywhere, within seconds", () => {
+  test("all declare a crashed entry dead, and alive after its restart", () => {
     const group = new SimulatedEntries(12);
-    group.settle(5000);
+    group.run(5000);
     group.down.add("e5");
-    group.settle(9000);
+    group.run(9000);
     for (const name of group.entries.keys()) {
       if (name !== "e5") {
         expect(group.stateOf("e5", name)).toBe("dead");
       }
     }
     group.start("e5");
-    group.settle(5000);
+    group.run(5000);
     expect(group.stateOf("e5", "e1")).toBe("alive");
   });
 
-  test("don't bury each other for a pause of their own", () => {
+  test("don't declare others dead after a pause of their own", () => {
     const group = new SimulatedEntries(4);
-    group.settle(4000);
-    // One entry stops reading and then finds all its answers waiting.
+    group.run(4000);
+    // One entry is paused and then receives all acks of that time at once.
     const paused = group.entries.get("e2")!;
     const others = ["e0", "e1", "e3"];
     const backlog: Packet[] = [];
-    for (let passed = 0; passed < 2500; passed += STEP) {
-      group.time += STEP;
-      // The paused one still sends a ping, whose answer it doesn't read.
-      const ticking = passed < 400 ? ["e0", "e1", "e2", "e3"] : others;
-      for (const name of ticking) {
+    for (let elapsed = 0; elapsed < 2500; elapsed += TICK_INTERVAL_MS) {
+      group.time += TICK_INTERVAL_MS;
+      // The paused entry still sends a ping, but doesn't read the ack.
+      const tickingEntries = elapsed < 400 ? ["e0", "e1", "e2", "e3"] : others;
+      for (const name of tickingEntries) {
         const effects = group.entries.get(name)!
           .handle({ kind: "tick" }, group.time);
-        group.take(name, effects);
+        group.applyEffects(name, effects);
       }
-      for (let left = group.packets.length; left > 0; left -= 1) {
+      for (
+        let remaining = group.packets.length;
+        remaining > 0;
+        remaining -= 1
+      ) {
         const packet = group.packets[0]!;
         if (packet.to === "e2") {
           backlog.push(group.packets.shift()!);
@@ -181,73 +187,77 @@
       }
     }
     const effects = paused.handle({ kind: "tick" }, group.time);
-    const buried = effects.filter((effect) => effect.kind === "member_changed");
-    expect(buried).toEqual([]);
-    group.take("e2", effects);
+    const changed = effects.filter((effect) =>
+      effect.kind === "member_changed"
+    );
+    expect(changed).toEqual([]);
+    group.applyEffects("e2", effects);
     group.packets.push(...backlog);
-    group.settle(6000);
+    group.run(6000);
     for (const name of others) {
       expect(group.stateOf("e2", name)).toBe("alive");
       expect(group.stateOf(name, "e2")).toBe("alive");
     }
   });
 
-  test("hear of a leaving upstream at once, and over a lost path", () => {
+  test("receive a departure directly, and by gossip where that is lost", () => {
     const group = new SimulatedEntries(12);
-    group.settle(5000);
+    group.run(5000);
     group.announce("e3", {});
-    group.settle(2000);
+    group.run(2000);
     group.announce("e3", { sequence: 2, state: "leaving", reclaimIn: 2000 });
-    // The urgent news is lost to a third of the entries.
+    // Four of the direct messages are lost.
     group.packets.splice(0, 4);
     while (group.packets.length > 0) {
       group.deliver(0);
     }
-    const told = [...group.entries.values()].filter((membership) =>
+    const notified = [...group.entries.values()].filter((membership) =>
       membership.upstreams(group.time)[0]?.announcement.state === "leaving"
     );
-    expect(told.length).toBeGreaterThanOrEqual(8);
-    group.settle(1500);
+    expect(notified.length).toBeGreaterThanOrEqual(8);
+    group.run(1500);
     for (const membership of group.entries.values()) {
       const [known] = membership.upstreams(group.time);
       expect(known?.announcement.state).toBe("leaving");
     }
   });
 
-  test("let an upstream lapse that is silent, and not one that moved", () => {
+  test("expire an unresponsive upstream, but not one that moved", () => {
     const group = new SimulatedEntries(4);
-    group.settle(4000);
+    group.run(4000);
     for (let sequence = 1; sequence < 12; sequence += 1) {
       group.announce(sequence < 6 ? "e1" : "e2", { sequence });
-      group.settle(500);
+      group.run(500);
     }
     expect(group.entries.get("e0")!.upstreams(group.time)).toHaveLength(1);
-    group.settle(5000);
+    group.run(5000);
     expect(group.entries.get("e0")!.upstreams(group.time)).toHaveLength(0);
   });
 
-  test("are informed once they have another's view, or after a second", () => {
+  test("are synchronized once they receive upstreams, or after a second", () => {
     const group = new SimulatedEntries(2);
-    group.settle(900);
-    expect(group.informedAt.size).toBe(0);
-    group.settle(200);
-    expect([...group.informedAt.keys()].sort()).toEqual(["e0", "e1"]);
+    group.run(900);
+    expect(group.synchronizedAt.size).toBe(0);
+    group.run(200);
+    expect([...group.synchronizedAt.keys()].sort()).toEqual(["e0", "e1"]);
     group.announce("e0", {});
-    group.settle(500);
+    group.run(500);
     const restartedAt = group.time;
     group.start("e1");
-    group.settle(300);
-    expect(group.informedAt.get("e1")! - restartedAt).toBeLessThanOrEqual(200);
+    group.run(300);
+    expect(group.synchronizedAt.get("e1")! - restartedAt).toBeLessThanOrEqual(
+      200,
+    );
     expect(group.entries.get("e1")!.upstreams(group.time)).toHaveLength(1);
   });
 
-  test("don't take an upstream for silent for a pause of their own", () => {
+  test("don't expire an upstream after a pause of their own", () => {
     const group = new SimulatedEntries(2);
-    group.settle(1000);
+    group.run(1000);
     group.announce("e1", {});
-    group.settle(1000);
+    group.run(1000);
     expect(group.entries.get("e0")!.upstreams(group.time)).toHaveLength(1);
-    // Nothing runs for longer than the lease; news wait in the sockets.
+    // The process is paused for longer than the lease.
     group.time += 5000;
     const effects = group.entries.get("e0")!
       .handle({ kind: "tick" }, group.time);
@@ -255,23 +265,23 @@
       [],
     );
     expect(group.entries.get("e0")!.upstreams(group.time)).toHaveLength(1);
-    // One that stays silent is gone a lease later.
-    group.settle(3200);
+    // Without further announcements the lease lapses.
+    group.run(3200);
     expect(group.entries.get("e0")!.upstreams(group.time)).toHaveLength(0);
   });
 
-  test("agree again after any drops, cuts, deaths and returns", () => {
-    let taken = 0;
+  test("converge after message loss, partitions, crashes and restarts", () => {
+    let stepCount = 0;
     const step = fc.tuple(fc.nat(9), fc.nat(7), fc.nat(99));
     fc.assert(
       fc.property(
         fc.array(step, { minLength: 250, maxLength: 350 }),
         (steps) => {
           const group = new SimulatedEntries(6);
-          group.settle(3000);
-          for (const [kind, who, detail] of steps) {
-            taken += 1;
-            const name = `e${who % 6}`;
+          group.run(3000);
+          for (const [kind, entryIndex, detail] of steps) {
+            stepCount += 1;
+            const name = `e${entryIndex % 6}`;
             if (kind <= 3) {
               group.tick();
             } else if (kind <= 6) {
@@ -281,9 +291,9 @@
             } else if (kind === 7) {
               group.packets.splice(detail % (group.packets.length + 1), 1);
             } else if (kind === 8) {
-              group.cut.clear();
+              group.partitioned.clear();
               if (detail % 2 === 0) {
-                group.cut.add(name);
+                group.partitioned.add(name);
               }
             } else if (group.down.has(name)) {
               group.start(name);
@@ -291,11 +301,11 @@
               group.down.add(name);
             }
           }
-          group.cut.clear();
+          group.partitioned.clear();
           for (const name of [...group.down]) {
             group.start(name);
           }
-          group.settle(30_000);
+          group.run(30_000);
           for (const membership of group.entries.values()) {
             const states = membership.members.map(({ state }) => state);
             expect(states).toEqual(states.map(() => "alive"));
@@ -305,7 +315,7 @@
       ),
       { numRuns: RUNS, seed: 9 },
     );
-    expect(taken).toBeGreaterThan(10_000);
+    expect(stepCount).toBeGreaterThan(10_000);
   });
 });
 
@@ -320,7 +330,7 @@
     revision: 0,
   });
 
-  test("names the nearest zone first and never a leaving entry", () => {
+  test("lists the caller's zone first and no leaving entry", () => {
     const members = [
       member("far", "b", "alive"),
       member("gone", "a", "leaving"),
@@ -328,13 +338,13 @@
     ];
     const listed = listEntries(members, {
       zone: "a",
-      most: 5,
+      maxEntries: 5,
       random: createSeededRandom(1),
     });
     expect(listed.map(({ address }) => address)).toEqual(["near", "far"]);
   });
 
-  test("puts the standby into another zone where there is one", () => {
+  test("chooses a standby in another zone if one is available", () => {
     const members = [
       member("owner", "a", "alive"),
       member("same", "a", "alive"),
--- a/packages/membership/mod.ts
+++ b/packages/membership/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Which entries are alive and which upstreams announced themselves, as a
- * state machine without I/O; and the answers of discovery.
+ * Membership of entries and upstreams: failure detection and gossip as a state
+ * machine without I/O, and the choice of entries for callers and copies.
  *
  * @module
  */
--- a/packages/membership/probe.ts
+++ b/packages/membership/probe.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** A ping that has not been answered yet. @internal */
+/** A ping without an ack so far. @internal */
 export type Probe = {
   readonly number: number;
   readonly target: string;
-  /** When others are asked to ping the target. */
-  indirectAt: Milliseconds;
-  /** When the target is suspected. */
+  /** Time at which other members are requested to ping the target. */
+  indirectProbeAt: Milliseconds;
+  /** Time at which the probe fails. */
   suspectAt: Milliseconds;
-  askedOthers: boolean;
+  hasRequestedIndirectProbes: boolean;
 };
--- a/packages/membership/prober.ts
+++ b/packages/membership/prober.ts
@@ -7,34 +7,34 @@
 import type { RelayedProbe } from "./relayed_probe.ts";
 import { shuffle } from "./shuffle.ts";
 
-/** A message of the prober, before news ride on it. */
+/** A message of the prober, before gossip is added to it. */
 type ProbeMessage =
   | Omit<Ping, "gossip">
   | Omit<Ack, "gossip">
   | Omit<PingRequest, "gossip">;
 
-/** What the prober works with. */
 type ProberOptions = {
   readonly settings: MembershipSettings;
   readonly random: Random;
   readonly members: MemberTable;
   readonly send: (address: string, message: ProbeMessage) => void;
-  /** Told of a member that answered neither directly nor through others. */
-  readonly onSilent: (name: string) => void;
+  /** Called when a direct and its indirect probes remain unacknowledged. */
+  readonly onProbeFailed: (name: string) => void;
 };
 
 /**
- * Pings the members in turn, directly and, where one is silent, through others.
+ * Pings the members in turn: directly, and through other members if the
+ * direct ping isn't acknowledged in time.
  *
  * @internal
  */
 export class Prober {
   readonly #options: ProberOptions;
-  readonly #relayed = new Map<number, RelayedProbe>();
-  #order: string[] = [];
+  readonly #relayedProbes = new Map<number, RelayedProbe>();
+  #probeOrder: string[] = [];
   #probes: Probe[] = [];
-  #number = 0;
-  #probeAt: Milliseconds = 0;
+  #lastNumber = 0;
+  #nextProbeAt: Milliseconds = 0;
 
   constructor(options: ProberOptions) {
     this.#options = options;
@@ -42,16 +42,16 @@
 
   tick(now: Milliseconds): void {
     this.#checkProbes(now);
-    if (now >= this.#probeAt) {
-      this.#probeAt = now + this.#options.settings.probeInterval;
+    if (now >= this.#nextProbeAt) {
+      this.#nextProbeAt = now + this.#options.settings.probeInterval;
       this.#probeNext(now);
     }
   }
 
-  /** Gives the members more time, after a pause in which nothing was heard. */
-  extend(pause: Milliseconds): void {
+  /** Postpones the deadlines of open probes after a pause of the process. */
+  extendDeadlines(pause: Milliseconds): void {
     for (const probe of this.#probes) {
-      probe.indirectAt += pause;
+      probe.indirectProbeAt += pause;
       probe.suspectAt += pause;
     }
   }
@@ -64,12 +64,12 @@
   }
 
   onAck(ack: Ack): void {
-    const relayed = this.#relayed.get(ack.number);
+    const relayed = this.#relayedProbes.get(ack.number);
     if (relayed === undefined) {
       this.#probes = this.#probes.filter(({ number }) => number !== ack.number);
       return;
     }
-    this.#relayed.delete(ack.number);
+    this.#relayedProbes.delete(ack.number);
     const requester = this.#options.members.get(relayed.requester);
     if (requester !== undefined) {
       this.#ack(requester, relayed.requesterNumber);
@@ -82,10 +82,10 @@
     if (target === undefined) {
       return;
     }
-    this.#relayed.set(this.#nextNumber(), {
+    this.#relayedProbes.set(this.#nextNumber(), {
       requester: request.from,
       requesterNumber: request.number,
-      until: now + 3 * settings.probeTimeout,
+      expiresAt: now + 3 * settings.probeTimeout,
     });
     this.#ping(target);
   }
@@ -94,19 +94,19 @@
     const open: Probe[] = [];
     for (const probe of this.#probes) {
       if (now >= probe.suspectAt) {
-        this.#options.onSilent(probe.target);
+        this.#options.onProbeFailed(probe.target);
         continue;
       }
-      if (now >= probe.indirectAt && !probe.askedOthers) {
-        probe.askedOthers = true;
-        this.#askOthers(probe);
+      if (now >= probe.indirectProbeAt && !probe.hasRequestedIndirectProbes) {
+        probe.hasRequestedIndirectProbes = true;
+        this.#requestIndirectProbes(probe);
       }
       open.push(probe);
     }
     this.#probes = open;
-    for (const [number, relayed] of this.#relayed) {
-      if (now > relayed.until) {
-        this.#relayed.delete(number);
+    for (const [number, relayed] of this.#relayedProbes) {
+      if (now > relayed.expiresAt) {
+        this.#relayedProbes.delete(number);
       }
     }
   }
@@ -120,24 +120,27 @@
     this.#probes.push({
       number: this.#nextNumber(),
       target: target.record.name,
-      indirectAt: now + probeTimeout,
+      indirectProbeAt: now + probeTimeout,
       suspectAt: now + 3 * probeTimeout,
-      askedOthers: false,
+      hasRequestedIndirectProbes: false,
     });
     this.#ping(target);
   }
 
-  /** Goes round all members in random order, so each is probed in time. */
+  /**
+   * Traverses all members in random order before it starts anew, which bounds
+   * the time until each is probed.
+   */
   #nextTarget(): KnownMember | undefined {
     const { members, random } = this.#options;
     while (true) {
-      const name = this.#order.pop();
+      const name = this.#probeOrder.pop();
       if (name === undefined) {
         const names = members.reachable().map(({ record }) => record.name);
         if (names.length === 0) {
           return undefined;
         }
-        this.#order = shuffle(names, random);
+        this.#probeOrder = shuffle(names, random);
         continue;
       }
       const member = members.get(name);
@@ -147,14 +150,14 @@
     }
   }
 
-  #askOthers(probe: Probe): void {
+  #requestIndirectProbes(probe: Probe): void {
     const { members, settings, random, send } = this.#options;
     const others = members.reachable().filter(({ record }) =>
       record.name !== probe.target && record.state === "alive"
     );
-    const helpers = shuffle(others, random).slice(0, settings.indirectProbes);
-    for (const helper of helpers) {
-      send(helper.record.address, {
+    const relays = shuffle(others, random).slice(0, settings.indirectProbes);
+    for (const relay of relays) {
+      send(relay.record.address, {
         kind: "ping_request",
         from: settings.name,
         number: probe.number,
@@ -164,17 +167,17 @@
   }
 
   #nextNumber(): number {
-    this.#number += 1;
-    return this.#number;
+    this.#lastNumber += 1;
+    return this.#lastNumber;
   }
 
-  /** Pings under the newest number. */
+  /** Pings with the number that was assigned last. */
   #ping(target: KnownMember): void {
     const { settings, send } = this.#options;
     send(target.record.address, {
       kind: "ping",
       from: settings.name,
-      number: this.#number,
+      number: this.#lastNumber,
     });
   }
 
--- a/packages/membership/relayed_probe.ts
+++ b/packages/membership/relayed_probe.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** A ping made for another member. @internal */
+/** A ping sent at the request of another member. @internal */
 export type RelayedProbe = {
   readonly requester: string;
   readonly requesterNumber: number;
-  readonly until: Milliseconds;
+  readonly expiresAt: Milliseconds;
 };
--- a/packages/membership/shuffle.ts
+++ b/packages/membership/shuffle.ts
@@ -1,13 +1,13 @@
 import type { Random } from "@heroncleat/base";
 
-/** The same items in random order (Fisher and Yates). @internal */
+/** Returns the items in random order (Fisher-Yates shuffle). @internal */
 export function shuffle<Item>(items: readonly Item[], random: Random): Item[] {
   const shuffled = [...items];
-  for (let place = shuffled.length - 1; place > 0; place -= 1) {
-    const other = Math.floor(random() * (place + 1));
-    const kept = shuffled[place]!;
-    shuffled[place] = shuffled[other]!;
-    shuffled[other] = kept;
+  for (let index = shuffled.length - 1; index > 0; index -= 1) {
+    const randomIndex = Math.floor(random() * (index + 1));
+    const item = shuffled[index]!;
+    shuffled[index] = shuffled[randomIndex]!;
+    shuffled[randomIndex] = item;
   }
   return shuffled;
 }
--- a/packages/membership/upstream_table.ts
+++ b/packages/membership/upstream_table.ts
@@ -3,7 +3,7 @@
 import type { KnownUpstream } from "./known_upstream.ts";
 
 /**
- * The upstreams an entry knows, by announcement or by gossip.
+ * The latest announcement of each upstream, received directly or by gossip.
  *
  * @internal
  */
@@ -23,51 +23,48 @@
     return this.#upstreams.values();
   }
 
-  /** Takes a record when it is newer than the known one. */
+  /** Merges a record if it is newer, and returns whether it was. */
   merge(record: UpstreamRecord, now: Milliseconds): boolean {
     const { announcement } = record;
     const known = this.#upstreams.get(announcement.name);
     if (known !== undefined && !isNewer(announcement, known.announcement)) {
       return false;
     }
-    const heardAt = now - record.age;
+    const lastSeenAt = now - record.age;
     this.#upstreams.set(announcement.name, {
       announcement,
       heardBy: record.heardBy,
-      heardAt,
+      lastSeenAt,
       transmissions: 0,
-      lapsed: now - heardAt > this.#lease,
+      isLapsed: now - lastSeenAt > this.#lease,
     });
     return true;
   }
 
-  /** Marks and returns the upstreams whose lease has just lapsed. */
-  lapse(now: Milliseconds): string[] {
+  /** Marks newly lapsed leases and returns the names of their upstreams. */
+  markLapsed(now: Milliseconds): string[] {
     const names: string[] = [];
     for (const [name, known] of this.#upstreams) {
-      if (!known.lapsed && now - known.heardAt > this.#lease) {
-        known.lapsed = true;
+      if (!known.isLapsed && now - known.lastSeenAt > this.#lease) {
+        known.isLapsed = true;
         names.push(name);
       }
     }
     return names;
   }
 
-  /**
-   * Lengthens the leases that still stand, after a pause in which nothing
-   * could be heard.
-   */
-  extend(pause: Milliseconds): void {
+  /** Extends the leases in force after a pause of the process. */
+  extendLeases(pause: Milliseconds): void {
     for (const known of this.#upstreams.values()) {
-      if (!known.lapsed) {
-        known.heardAt += pause;
+      if (!known.isLapsed) {
+        known.lastSeenAt += pause;
       }
     }
   }
 
-  forget(before: Milliseconds): void {
+  removeLapsed(before: Milliseconds): void {
     for (const [name, known] of this.#upstreams) {
-      if (known.lapsed && known.heardAt < before) {
+      if (known.isLapsed && known.lastSeenAt < before) {
         this.#upstreams.delete(name);
       }
     }
@@ -77,7 +74,7 @@
     return {
       announcement: known.announcement,
       heardBy: known.heardBy,
-      age: Math.max(0, now - known.heardAt),
+      age: Math.max(0, now - known.lastSeenAt),
     };
   }
 }
