--- a/packages/capacity/capacity_planner.ts
+++ b/packages/capacity/capacity_planner.ts
@@ -15,8 +15,8 @@
 
 /**
  * Decides which VMs to start and stop: enough for the demand, cheapest first by
- * price and reclaim risk, and distributed so that the other zones retain the
- * required capacity if the largest zone is lost.
+ * price and reclaim risk, and distributed so that the other zones cover the
+ * surviving share of the demand if the largest zone is lost.
  *
  * @public
  */
@@ -84,7 +84,7 @@
     return starts;
   }
 
-  /** Capacity is short in total, or outside the largest zone. */
+  /** Returns a shortfall of the total, or of the zones besides the largest. */
   #findShortfall(
     demand: number,
     planned: readonly ZoneCapacity[],
--- a/packages/ledger/ledger.ts
+++ b/packages/ledger/ledger.ts
@@ -40,8 +40,9 @@
   }
 
   /**
-   * Grants the key to the first attempt. Others receive its claim as `exists`,
-   * or as `conflict` if the digest differs.
+   * Grants the key to the first attempt, or to the next one if the request was
+   * not run. Others receive the existing claim as `exists`, or as `conflict` if
+   * the digest differs.
    */
   claim(command: ClaimCommand): ClaimReply {
     const existing = this.find(command.workspace, command.key);
--- a/packages/membership/prober.ts
+++ b/packages/membership/prober.ts
@@ -18,7 +18,7 @@
   readonly random: Random;
   readonly members: MemberTable;
   readonly send: (address: string, message: ProbeMessage) => void;
-  /** Called when a direct and its indirect probes remain unacknowledged. */
+  /** Called when neither the direct nor an indirect probe was acknowledged. */
   readonly onProbeFailed: (name: string) => void;
 };
 
