--- a/apps/heroncleatd/entry/configuration_renewer.ts
+++ b/apps/heroncleatd/entry/configuration_renewer.ts
@@ -65,8 +65,8 @@
   #applyReply(reply: Extract<RenewalReply, { kind: "renewed" }>): void {
     const isFirst = this.#follower.view.revision === 0;
     const hasChanged = reply.catchUp.kind === "view"
-      ? this.#follower.takeView(reply.catchUp.view)
-      : this.#follower.takeEdits(reply.catchUp.edits);
+      ? this.#follower.applyView(reply.catchUp.view)
+      : this.#follower.applyEdits(reply.catchUp.edits);
     if (hasChanged || isFirst) {
       this.#onView(this.#follower.view);
     }
--- a/apps/heroncleatd/entry/list_other_entries.ts
+++ b/apps/heroncleatd/entry/list_other_entries.ts
@@ -7,6 +7,10 @@
 export function listOtherEntries(parts: EntryParts): string[] {
   const { name, zone } = parts.context;
   const others = parts.members().filter((member) => member.name !== name);
-  return listEntries(others, { zone, most: MAX_ENTRIES, random: Math.random })
+  return listEntries(others, {
+    zone,
+    maxEntries: MAX_ENTRIES,
+    random: Math.random,
+  })
     .map((entry) => entry.address);
 }
--- a/apps/heroncleatd/entry/start_membership.ts
+++ b/apps/heroncleatd/entry/start_membership.ts
@@ -75,10 +75,10 @@
     suspectTimeout: entry.suspect_timeout,
     upstreamLease: entry.upstream_lease,
     indirectProbes: INDIRECT_PROBES,
-    gossipRecords: GOSSIP_RECORDS,
+    maxGossipRecords: GOSSIP_RECORDS,
     syncInterval: SYNC_INTERVAL_MS,
     retention: RETENTION_MS,
-    newsFanout: UPDATE_FANOUT,
+    broadcastFanout: UPDATE_FANOUT,
   }, Math.random);
 }
 
