--- a/packages/base/clock.ts
+++ b/packages/base/clock.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from "./milliseconds.ts";
 
 /**
- * The one source of time. The origin of `now` and `steady` is arbitrary; only
- * differences mean anything.
+ * A source of time. The origins of `now` and `steady` are arbitrary; only the
+ * difference between two readings is meaningful.
  *
  * @public
  */
@@ -13,11 +13,11 @@
    */
   now(): Milliseconds;
   /**
-   * Monotonic time, with the time for which the VM was suspended. Whoever
-   * grants a lease counts with this one: it never runs ahead when the wall
-   * clock is set.
+   * Monotonic time, including the time for which the VM was suspended. A
+   * process that grants leases uses this clock, because it doesn't advance
+   * when the wall clock is set.
    */
   steady(): Milliseconds;
-  /** Wall-clock time since 1970, for people and for retention. */
+  /** Unix time, for display and for retention periods. */
   wall(): Milliseconds;
 };
--- a/packages/base/clock_test.ts
+++ b/packages/base/clock_test.ts
@@ -1,11 +1,11 @@
 import { type Clock, createSystemClock } from "./mod.ts";
 
-/** A VM whose clocks a test moves. */
-class TestVm {
+/** A VM whose clocks are controlled by the test. */
+class FakeVm {
   monotonic = 100;
   wall = 1_000_000;
   uptime = 5000;
-  /** How fast the time since its start runs; it may be another machine's. */
+  /** Rate of the uptime; other than 1 if it is another machine's. */
   uptimeRate = 1;
 
   createClock(): Clock {
@@ -28,9 +28,9 @@
   }
 }
 
-describe("the clock", () => {
-  test("advances by the larger of the monotonic and the wall clock", () => {
-    const vm = new TestVm();
+describe("createSystemClock", () => {
+  test("now advances by the larger of the monotonic and the wall clock", () => {
+    const vm = new FakeVm();
     const clock = vm.createClock();
     const start = clock.now();
     vm.run(50);
@@ -39,8 +39,8 @@
     expect(clock.now() - start).toBe(4050);
   });
 
-  test("never goes back, so that no lease grows, when the wall clock does", () => {
-    const vm = new TestVm();
+  test("now doesn't go back when the wall clock is set back", () => {
+    const vm = new FakeVm();
     const clock = vm.createClock();
     const start = clock.now();
     vm.wall -= 500_000;
@@ -48,12 +48,10 @@
     expect(clock.now() - start).toBe(10);
   });
 
-  // An entry whose VM had been suspended for 8 s took all it knew for 8 s
-  // younger than it was: it sent requests to upstreams that had ended, and
-  // deadlines later than the callers'. The monotonic clock, by which it counted,
-  // stands still meanwhile.
-  test("steady time counts while the VM is suspended", () => {
-    const vm = new TestVm();
+  // Guards against an entry that, after a suspension of its VM, underestimates
+  // the age of its state: it uses departed upstreams and extends deadlines.
+  test("steady advances by the time for which the VM was suspended", () => {
+    const vm = new FakeVm();
     const clock = vm.createClock();
     const start = clock.steady();
     for (const [ran, suspended] of [[50, 8000], [3000, 0], [20, 700]]) {
@@ -66,8 +64,8 @@
     expect(clock.steady() - start).toBeCloseTo(14_270);
   });
 
-  test("steady time doesn't count when the wall clock is set", () => {
-    const vm = new TestVm();
+  test("steady doesn't advance when the wall clock is set", () => {
+    const vm = new FakeVm();
     const clock = vm.createClock();
     const start = clock.steady();
     for (const step of [2400, -2400, 60_000, -60_000]) {
@@ -82,10 +80,10 @@
     expect(clock.steady() - start).toBeCloseTo(9000);
   });
 
-  // The process waited for the processor between its readings of two clocks, and
-  // took no notice of any suspension from then on.
-  test("a suspension is told after a check that was held up", () => {
-    const vm = new TestVm();
+  // Guards against ignoring all later suspensions after the process was delayed
+  // between the readings of two clocks.
+  test("a suspension is detected after a single failed check", () => {
+    const vm = new FakeVm();
     const clock = vm.createClock();
     const start = clock.steady();
     vm.run(1000);
@@ -100,9 +98,9 @@
     expect(clock.steady() - start).toBeCloseTo(8000);
   });
 
-  test("nothing is told from another machine's time since its start", () => {
+  test("no suspension is detected if the uptime is another machine's", () => {
     for (const rate of [0, 0.7, 1.4]) {
-      const vm = new TestVm();
+      const vm = new FakeVm();
       vm.uptimeRate = rate;
       const clock = vm.createClock();
       const start = clock.steady();
@@ -116,11 +114,11 @@
     }
   });
 
-  test("the clock of this very process runs like the monotonic one", async () => {
+  test("steady follows the monotonic clock of the running process", async () => {
     const clock = createSystemClock();
-    const [start, from] = [clock.steady(), performance.now()];
+    const [start, monotonicStart] = [clock.steady(), performance.now()];
     await new Promise((resolve) => setTimeout(resolve, 1200));
-    const passed = performance.now() - from;
+    const passed = performance.now() - monotonicStart;
     expect(Math.abs(clock.steady() - start - passed)).toBeLessThan(50);
   });
 });
--- a/packages/base/create_fault.ts
+++ b/packages/base/create_fault.ts
@@ -1,10 +1,10 @@
 import type { Fault } from "./fault.ts";
 
 /**
- * Makes a fault. Without options it says that nothing was run.
+ * Creates a fault. Its `run` is `not-run` unless the options override it.
  *
  * @public
- * @example createFault("not_found", "No such model. Remedy: ask /v1/models.")
+ * @example createFault("not_found", "No such model. Remedy: see /v1/models.")
  */
 export function createFault(
   kind: Fault["kind"],
--- a/packages/base/create_seeded_random.ts
+++ b/packages/base/create_seeded_random.ts
@@ -3,7 +3,7 @@
 import type { Random } from "./random.ts";
 
 /**
- * Makes a reproducible source of random numbers for tests and measurements.
+ * Creates a reproducible random number generator for tests and benchmarks.
  *
  * @public
  */
--- a/packages/base/create_system_clock.ts
+++ b/packages/base/create_system_clock.ts
@@ -1,20 +1,20 @@
 import { uptime } from "node:os";
 import type { Clock } from "./clock.ts";
 import type { Milliseconds } from "./milliseconds.ts";
-import { SuspensionGauge } from "./suspension_gauge.ts";
+import { SuspensionDetector } from "./suspension_detector.ts";
 
-/** Where a clock reads time from; the running process's own if left out. */
+/** Sources of time; each defaults to the running process's own. */
 type TimeSources = {
-  /** Time that doesn't count while the VM is suspended. */
+  /** Stops while the VM is suspended. */
   readonly readMonotonic: () => Milliseconds;
   readonly readWall: () => Milliseconds;
-  /** Time since the VM's start, which counts then, too. */
+  /** Time since the VM started, including suspensions. */
   readonly readUptime: () => Milliseconds;
-  /** Called when the VM has been suspended for a time. */
+  /** Called with the length of each detected suspension. */
   readonly onSuspension: (time: Milliseconds) => void;
 };
 
-const OWN: TimeSources = {
+const SYSTEM_SOURCES: TimeSources = {
   readMonotonic: () => performance.now(),
   readWall: () => Date.now(),
   readUptime: () => uptime() * 1000,
@@ -22,16 +22,16 @@
 };
 
 /**
- * Makes the clock of a running process.
+ * Creates the clock of the running process.
  *
  * @public
  */
 export function createSystemClock(sources: Partial<TimeSources> = {}): Clock {
   const { readMonotonic, readWall, readUptime, onSuspension } = {
-    ...OWN,
+    ...SYSTEM_SOURCES,
     ...sources,
   };
-  const gauge = new SuspensionGauge(readUptime, onSuspension);
+  const suspensions = new SuspensionDetector(readUptime, onSuspension);
   let lastMonotonic = readMonotonic();
   let lastWall = readWall();
   let elapsed = 0;
@@ -39,7 +39,7 @@
     now() {
       const monotonic = readMonotonic();
       const wall = readWall();
-      // A wall clock set back gives a negative step, which must not count.
+      // The step is negative if the wall clock was set back.
       elapsed += Math.max(monotonic - lastMonotonic, wall - lastWall, 0);
       lastMonotonic = monotonic;
       lastWall = wall;
@@ -47,7 +47,8 @@
     },
     steady() {
       const monotonic = readMonotonic();
-      return monotonic + gauge.suspendedFor(monotonic, readWall());
+      return monotonic +
+        suspensions.measureSuspendedTime(monotonic, readWall());
     },
     wall: readWall,
   };
--- a/packages/base/fault.ts
+++ b/packages/base/fault.ts
@@ -2,7 +2,8 @@
 import type { Milliseconds } from "./milliseconds.ts";
 
 /**
- * An error with a kind, and a message that names cause and remedy.
+ * An error reported to a caller or an operator. Its message names the cause
+ * and the remedy.
  *
  * @public
  */
@@ -10,10 +11,10 @@
   readonly kind: typeof FaultKind[keyof typeof FaultKind];
   readonly message: string;
   /**
-   * `not-run` only where no byte of the request can have reached an upstream
-   * or the upstream said so itself.
+   * `not-run` only if no byte of the request can have reached an upstream, or
+   * if the upstream reported that it did not run the request.
    */
   readonly run: "not-run" | "unknown";
-  /** When to come back. */
+  /** Delay after which the request may be retried. */
   readonly retryAfter?: Milliseconds;
 };
--- a/packages/base/fault_kind.ts
+++ b/packages/base/fault_kind.ts
@@ -1,4 +1,4 @@
-/** The kinds of errors that reach callers and operators. @public */
+/** Kinds of errors that are reported to callers and operators. @public */
 export const FaultKind = {
   badRequest: "bad_request",
   unauthorized: "unauthorized",
--- a/packages/base/format_request_id.ts
+++ b/packages/base/format_request_id.ts
@@ -1,6 +1,6 @@
 /**
- * Writes a request identifier, `owner~standby~token`. Any entry can tell from
- * it where the answer is held; the token makes it unguessable.
+ * Formats a request identifier as `owner~standby~token`. It tells any entry
+ * which entries hold the response; the token makes it unguessable.
  *
  * @public
  */
--- a/packages/base/milliseconds.ts
+++ b/packages/base/milliseconds.ts
@@ -1,2 +1,2 @@
-/** A point in time or a span, in milliseconds. @public */
+/** A point in time or a duration, in milliseconds. @public */
 export type Milliseconds = number;
--- a/packages/base/mod.ts
+++ b/packages/base/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Small parts that every other package builds on: time, random numbers,
- * identifiers, errors.
+ * Building blocks of the other packages: time, random numbers, identifiers and
+ * errors.
  *
  * @module
  */
--- a/packages/base/parse_request_id.ts
+++ b/packages/base/parse_request_id.ts
@@ -1,19 +1,19 @@
-/** What a request identifier says of its first holders. */
-type RequestParts = {
+/** The entries that first held the request, and its random token. */
+type RequestIdParts = {
   readonly owner: string;
   readonly standby: string;
   readonly token: string;
 };
 
-/** Between the parts; entry names can't contain it. */
+/** Entry names can't contain it. */
 const SEPARATOR = "~";
 
 /**
- * Reads `owner~standby~token`. Missing parts are empty.
+ * Parses `owner~standby~token`. Missing parts become empty strings.
  *
  * @public
  */
-export function parseRequestId(id: string): RequestParts {
+export function parseRequestId(id: string): RequestIdParts {
   const [owner = "", standby = "", token = ""] = id.split(SEPARATOR);
   return { owner, standby, token };
 }
--- a/packages/base/random.ts
+++ b/packages/base/random.ts
@@ -1,2 +1,2 @@
-/** Returns a random number from 0 up to, but not including, 1. @public */
+/** Returns a random number in the range [0, 1). @public */
 export type Random = () => number;
--- a/packages/base/split_address.ts
+++ b/packages/base/split_address.ts
@@ -1,8 +1,7 @@
-/** A host and a port. */
 type HostAndPort = { readonly host: string; readonly port: number };
 
 /**
- * Splits `host:port`.
+ * Splits `host:port` at its last colon.
  *
  * @public
  */
--- a/packages/base/unreachable.ts
+++ b/packages/base/unreachable.ts
@@ -1,5 +1,6 @@
 /**
- * Ends an exhaustive switch: the compiler refuses a call that can be reached.
+ * Marks the end of an exhaustive switch: a missing case is a compile-time
+ * error.
  *
  * @public
  */
--- a/packages/transport/check_method.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Method that every peer answers, to show that a path is open. @internal */
-export const CHECK_METHOD = "transport.check";
--- a/packages/transport/frame_codec.ts
+++ b/packages/transport/frame_codec.ts
@@ -3,7 +3,7 @@
 const HEADER_BYTES = 8;
 const CHECKSUM_OFFSET = 4;
 
-/** Frames read from a stream, or why the stream can't be read on. */
+/** Decoded frames, or the reason why the rest of the stream is unreadable. */
 type DecodedFrames =
   | {
     readonly kind: "frames";
@@ -13,7 +13,7 @@
   | { readonly kind: "broken"; readonly reason: string };
 
 /**
- * The form of a message on a connection: length and CRC-32 as 32-bit
+ * Encodes and decodes frames: the payload's length and its CRC-32 as 32-bit
  * big-endian numbers, then the payload.
  *
  * @internal
@@ -26,14 +26,17 @@
     return Buffer.concat([header, payload]);
   },
 
-  /** Takes all whole frames off the front of `bytes`. */
-  decode(bytes: Buffer, mostBytes: number): DecodedFrames {
+  /** Decodes all complete frames at the start of `bytes`. */
+  decode(bytes: Buffer, maxPayloadBytes: number): DecodedFrames {
     const payloads: Buffer[] = [];
     let offset = 0;
     while (offset + HEADER_BYTES <= bytes.length) {
       const length = bytes.readUInt32BE(offset);
-      if (length > mostBytes) {
-        return { kind: "broken", reason: `a frame of ${length} bytes` };
+      if (length > maxPayloadBytes) {
+        return {
+          kind: "broken",
+          reason: `an oversized frame of ${length} bytes`,
+        };
       }
       const start = offset + HEADER_BYTES;
       const end = start + length;
@@ -42,7 +45,7 @@
       }
       const payload = bytes.subarray(start, end);
       if (crc32(payload) !== bytes.readUInt32BE(offset + CHECKSUM_OFFSET)) {
-        return { kind: "broken", reason: "a frame with a wrong checksum" };
+        return { kind: "broken", reason: "a frame with an incorrect checksum" };
       }
       payloads.push(payload);
       offset = end;
--- a/packages/transport/framed_socket.ts
+++ b/packages/transport/framed_socket.ts
@@ -1,19 +1,18 @@
 import type { Socket } from "node:net";
 import { frameCodec } from "./frame_codec.ts";
 
-/** Largest message between processes; snapshots are sent in chunks. */
-const MOST_FRAME_BYTES = 16 * 1024 * 1024;
-/** Bytes that may wait for a slow peer before the connection is dropped. */
-const MOST_QUEUED_BYTES = 32 * 1024 * 1024;
+/** Limit for one message; snapshots are sent in chunks. */
+const MAX_PAYLOAD_BYTES = 16 * 1024 * 1024;
+/** Limit of the send queue; a slow peer that exceeds it is disconnected. */
+const MAX_QUEUED_BYTES = 32 * 1024 * 1024;
 
-/** What the user of a connection is told. */
 type SocketHandlers = {
   readonly onMessage: (message: unknown) => void;
   readonly onClose: (reason: string) => void;
 };
 
 /**
- * A connection that carries JSON messages in checked frames.
+ * A socket that carries JSON messages in frames with checksums.
  *
  * @internal
  */
@@ -21,8 +20,8 @@
   readonly #socket: Socket;
   #handlers: SocketHandlers;
   #received: Buffer = Buffer.alloc(0);
-  #closed = false;
-  #heardAt = 0;
+  #isClosed = false;
+  #lastReceivedAt = 0;
 
   constructor(socket: Socket, handlers: SocketHandlers) {
     this.#socket = socket;
@@ -34,54 +33,53 @@
   }
 
   get isOpen(): boolean {
-    return !this.#closed;
+    return !this.#isClosed;
   }
 
-  /** Monotonic time at which bytes last arrived. */
-  get heardAt(): number {
-    return this.#heardAt;
+  /** Time by `performance.now()` at which bytes last arrived; 0 if never. */
+  get lastReceivedAt(): number {
+    return this.#lastReceivedAt;
   }
 
-  /** Replaces the handlers, as after the handshake. */
-  handleWith(handlers: SocketHandlers): void {
+  setHandlers(handlers: SocketHandlers): void {
     this.#handlers = handlers;
   }
 
-  /** Sends a message, or drops the connection when its queue is full. */
+  /** Sends a message, or closes the connection if the send queue is full. */
   send(message: unknown): void {
-    if (this.#closed) {
+    if (this.#isClosed) {
       return;
     }
     const payload = Buffer.from(JSON.stringify(message));
-    if (this.#socket.writableLength + payload.length > MOST_QUEUED_BYTES) {
-      this.close("the peer reads too slowly");
+    if (this.#socket.writableLength + payload.length > MAX_QUEUED_BYTES) {
+      this.close("the peer reads too slowly and its send queue is full");
       return;
     }
     this.#socket.write(frameCodec.encode(payload));
   }
 
   close(reason: string): void {
-    if (this.#closed) {
+    if (this.#isClosed) {
       return;
     }
-    this.#closed = true;
+    this.#isClosed = true;
     this.#socket.destroy();
     this.#handlers.onClose(reason);
   }
 
   #onData(bytes: Buffer): void {
-    this.#heardAt = performance.now();
+    this.#lastReceivedAt = performance.now();
     this.#received = this.#received.length === 0
       ? bytes
       : Buffer.concat([this.#received, bytes]);
-    const decoded = frameCodec.decode(this.#received, MOST_FRAME_BYTES);
+    const decoded = frameCodec.decode(this.#received, MAX_PAYLOAD_BYTES);
     if (decoded.kind === "broken") {
       this.close(`the peer sent ${decoded.reason}`);
       return;
     }
     this.#received = decoded.rest;
     for (const payload of decoded.payloads) {
-      if (this.#closed) {
+      if (this.#isClosed) {
         return;
       }
       this.#onPayload(payload);
--- a/packages/transport/handshake.ts
+++ b/packages/transport/handshake.ts
@@ -1,11 +1,11 @@
 import { createHmac, timingSafeEqual } from "node:crypto";
 
-/** Which side of a connection proves that it knows the secret. */
+/** The side of a connection that makes the proof. */
 type Side = "client" | "server";
 
 /**
- * Mutual proof of the shared secret: each side signs both nonces, and the
- * secret itself is never sent.
+ * Mutual authentication with a shared secret: each side sends an HMAC of both
+ * nonces, and the secret itself is never sent.
  *
  * @internal
  */
@@ -30,7 +30,8 @@
     },
   ): boolean {
     const expected = Buffer.from(handshake.prove(secret, options));
-    const found = Buffer.from(String(options.proof));
-    return expected.length === found.length && timingSafeEqual(expected, found);
+    const actual = Buffer.from(String(options.proof));
+    return expected.length === actual.length &&
+      timingSafeEqual(expected, actual);
   },
 };
--- a/packages/transport/method_handler.ts
+++ b/packages/transport/method_handler.ts
@@ -1,2 +1,2 @@
-/** Answers one method; what it throws becomes a JSON-RPC error. @public */
+/** Handles one method; a thrown error becomes a JSON-RPC error. @public */
 export type MethodHandler = (parameters: unknown) => unknown;
--- a/packages/transport/mod.ts
+++ b/packages/transport/mod.ts
@@ -1,6 +1,6 @@
 /**
- * JSON-RPC between the system's own processes over TCP, with a proof of the
- * shared secret, checked frames and bounded queues.
+ * JSON-RPC over TCP between the system's own processes, authenticated with a
+ * shared secret, with frame checksums and bounded send queues.
  *
  * @module
  */
--- a/packages/transport/peer_connection.ts
+++ b/packages/transport/peer_connection.ts
@@ -1,27 +1,25 @@
 import { connect } from "node:net";
 import { createToken, type Milliseconds, splitAddress } from "@heroncleat/base";
 import { JSONRPCClient } from "json-rpc-2.0";
-import { CHECK_METHOD } from "./check_method.ts";
+import { CONNECTION_CHECK_METHOD } from "./connection_check_method.ts";
 import { FramedSocket } from "./framed_socket.ts";
 import { handshake } from "./handshake.ts";
 
-/** Pause between two checks of a connection in use. */
+/** Minimum interval between checks of a connection in use. */
 const CHECK_INTERVAL: Milliseconds = 400;
-/** Silence after a check that means the path is gone. */
 const CHECK_TIMEOUT: Milliseconds = 1000;
 
-/** What a connection is built from. */
 type ConnectionOptions = {
   readonly address: string;
   readonly secret: string;
   readonly connectTimeout: Milliseconds;
-  /** Own host that connections come from; empty for any. */
+  /** Local address to connect from; empty for any. */
   readonly localHost: string;
   readonly onClose: () => void;
 };
 
 /**
- * One connection to another process, opened on creation.
+ * A client connection to another process, opened on creation.
  *
  * @internal
  */
@@ -30,10 +28,10 @@
   readonly #client: JSONRPCClient;
   readonly #framed: FramedSocket;
   readonly #clientNonce = createToken();
-  /** Messages that wait for the handshake. */
-  #waiting: unknown[] | undefined = [];
+  /** Messages queued until the handshake completes; undefined afterwards. */
+  #queued: unknown[] | undefined = [];
   #serverNonce = "";
-  #checkedAt = 0;
+  #lastCheckAt = 0;
   #isChecking = false;
 
   constructor(options: ConnectionOptions) {
@@ -49,8 +47,8 @@
       onClose: (reason) => this.#onClose(reason),
     });
     const timer = setTimeout(() => {
-      if (this.#waiting !== undefined) {
-        this.#framed.close("connecting took too long");
+      if (this.#queued !== undefined) {
+        this.#framed.close("connecting timed out");
       }
     }, options.connectTimeout);
     timer.unref();
@@ -71,8 +69,8 @@
         options.parameters as object,
       );
     } catch (error) {
-      if (this.#framed.heardAt < startedAt) {
-        this.#framed.close("the peer doesn't answer");
+      if (this.#framed.lastReceivedAt < startedAt) {
+        this.#framed.close("the peer did not respond");
       }
       throw error;
     }
@@ -84,21 +82,25 @@
   }
 
   /**
-   * A path that is cut keeps its connection open, and bytes sent meanwhile
-   * wait for ever longer after it is back. A peer that doesn't answer a check
-   * in time loses the connection, so that the next message opens a new one.
+   * A network failure can leave the connection open, and TCP then delays queued
+   * bytes by its backoff even after the network recovers. The connection to a
+   * peer that doesn't respond in time is closed, so that the next message opens
+   * a new one.
    */
   async #check(): Promise<void> {
     const now = performance.now();
-    if (this.#isChecking || now - this.#checkedAt < CHECK_INTERVAL) {
+    if (this.#isChecking || now - this.#lastCheckAt < CHECK_INTERVAL) {
       return;
     }
     this.#isChecking = true;
-    this.#checkedAt = now;
+    this.#lastCheckAt = now;
     try {
-      await this.call(CHECK_METHOD, { parameters: {}, timeout: CHECK_TIMEOUT });
+      await this.call(CONNECTION_CHECK_METHOD, {
+        parameters: {},
+        timeout: CHECK_TIMEOUT,
+      });
     } catch {
-      // The call has closed the connection if the peer was silent.
+      // `call` has already closed the connection if the peer is unresponsive.
     } finally {
       this.#isChecking = false;
     }
@@ -112,10 +114,10 @@
     if (!this.#framed.isOpen) {
       throw new Error("the connection is closed");
     }
-    if (this.#waiting === undefined) {
+    if (this.#queued === undefined) {
       this.#framed.send(message);
     } else {
-      this.#waiting.push(message);
+      this.#queued.push(message);
     }
   }
 
@@ -132,30 +134,30 @@
       return;
     }
     const proof = fields["proof"];
-    const known = handshake.verify(secret, {
+    const isVerified = handshake.verify(secret, {
       side: "server",
       ...this.#nonces(),
       proof,
     });
-    if (!known) {
-      this.#framed.close("the peer doesn't know the shared secret");
+    if (!isVerified) {
+      this.#framed.close("the peer's proof of the shared secret is invalid");
       return;
     }
-    this.#startSending();
+    this.#finishHandshake();
   }
 
   #nonces(): { clientNonce: string; serverNonce: string } {
     return { clientNonce: this.#clientNonce, serverNonce: this.#serverNonce };
   }
 
-  #startSending(): void {
-    this.#framed.handleWith({
+  #finishHandshake(): void {
+    this.#framed.setHandlers({
       onMessage: (message) => this.#client.receive(message as never),
       onClose: (reason) => this.#onClose(reason),
     });
-    const waiting = this.#waiting ?? [];
-    this.#waiting = undefined;
-    for (const message of waiting) {
+    const queued = this.#queued ?? [];
+    this.#queued = undefined;
+    for (const message of queued) {
       this.#framed.send(message);
     }
   }
--- a/packages/transport/peer_pool.ts
+++ b/packages/transport/peer_pool.ts
@@ -1,65 +1,64 @@
 import type { Milliseconds } from "@heroncleat/base";
 import { PeerConnection } from "./peer_connection.ts";
 
-/** What a pool is built from. */
 type PeerPoolOptions = {
   readonly secret: string;
   readonly connectTimeout: Milliseconds;
-  /** Own host that connections come from; empty for any. */
+  /** Local address to connect from; empty for any. */
   readonly localHost: string;
 };
 
 /**
- * One connection to each other process that is called, opened when needed.
- * Nothing is retried: whoever calls knows whether it may be.
+ * Keeps one connection to each process that is called, opened on first use.
+ * Calls aren't retried, as only the caller can tell whether a retry is safe.
  *
  * @public
  * @example
- * const reply = await pool.call(address, "membership", { parameters, timeout });
+ * const reply = await pool.call(address, "hub.sync", { parameters, timeout });
  */
 export class PeerPool {
   readonly #options: PeerPoolOptions;
   readonly #connections = new Map<string, PeerConnection>();
-  #closed = false;
+  #isClosed = false;
 
   constructor(options: PeerPoolOptions) {
     this.#options = options;
   }
 
-  /** Calls a method; rejects on a timeout, a break or an error reply. */
+  /** Calls a method; rejects on a timeout, a lost connection or an error. */
   async call(
     address: string,
     method: string,
     options: { parameters: unknown; timeout: Milliseconds },
   ): Promise<unknown> {
-    return await this.#connectionTo(address).call(method, options);
+    return await this.#getConnection(address).call(method, options);
   }
 
   /**
-   * Sends a message that has no answer; it may be lost, and is once the pool is
-   * closed.
+   * Sends a message without a reply. It may be lost, and is dropped once the
+   * pool is closed.
    */
   notify(address: string, method: string, parameters: unknown): void {
-    if (this.#closed) {
+    if (this.#isClosed) {
       return;
     }
-    this.#connectionTo(address).notify(method, parameters);
+    this.#getConnection(address).notify(method, parameters);
   }
 
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     for (const connection of this.#connections.values()) {
       connection.close();
     }
   }
 
-  #connectionTo(address: string): PeerConnection {
-    const known = this.#connections.get(address);
-    if (known?.isOpen) {
-      return known;
+  #getConnection(address: string): PeerConnection {
+    const existing = this.#connections.get(address);
+    if (existing?.isOpen) {
+      return existing;
     }
-    if (this.#closed) {
-      throw new Error("the pool is closed");
+    if (this.#isClosed) {
+      throw new Error("the peer pool is closed");
     }
     const connection = new PeerConnection({
       ...this.#options,
--- a/packages/transport/peer_server.ts
+++ b/packages/transport/peer_server.ts
@@ -1,19 +1,18 @@
 import { createServer, type Server, type Socket } from "node:net";
 import { createToken, splitAddress } from "@heroncleat/base";
 import { JSONRPCServer } from "json-rpc-2.0";
-import { CHECK_METHOD } from "./check_method.ts";
+import { CONNECTION_CHECK_METHOD } from "./connection_check_method.ts";
 import { FramedSocket } from "./framed_socket.ts";
 import { handshake } from "./handshake.ts";
 import type { MethodHandler } from "./method_handler.ts";
 
-/** Time a connecting peer has to prove that it knows the secret. */
-const HANDSHAKE_TIMEOUT = 3000;
+/** Limit for a connecting peer to prove that it has the shared secret. */
+const HANDSHAKE_TIMEOUT_MS = 3000;
 
-/** What a peer server is built from. */
 type PeerServerOptions = {
   readonly address: string;
   readonly secret: string;
-  /** Told when a connection is refused or breaks. */
+  /** Called with a message for the log when a peer is refused. */
   readonly onProblem: (message: string) => void;
 };
 
@@ -31,10 +30,10 @@
   constructor(options: PeerServerOptions) {
     this.#options = options;
     this.#server = createServer((socket) => this.#accept(socket));
-    this.serve({ [CHECK_METHOD]: () => true });
+    this.serve({ [CONNECTION_CHECK_METHOD]: () => true });
   }
 
-  /** Adds methods, or replaces those of the same names. */
+  /** Adds methods; replaces existing ones of the same name. */
   serve(methods: Readonly<Record<string, MethodHandler>>): void {
     for (const [name, handler] of Object.entries(methods)) {
       this.#methods.addMethod(name, handler);
@@ -61,8 +60,8 @@
     socket.once("close", () => this.#sockets.delete(socket));
     const serverNonce = createToken();
     const timer = setTimeout(
-      () => framed.close("the handshake took too long"),
-      HANDSHAKE_TIMEOUT,
+      () => framed.close("the handshake timed out"),
+      HANDSHAKE_TIMEOUT_MS,
     );
     const framed = new FramedSocket(socket, {
       onMessage: (message) => {
@@ -89,13 +88,13 @@
         "A peer without the shared secret was refused. Remedy: give all " +
           "processes the same shared_secret_file.",
       );
-      framed.close("the peer doesn't know the shared secret");
+      framed.close("the peer's proof of the shared secret is invalid");
       return;
     }
     framed.send({
       proof: handshake.prove(secret, { side: "server", ...nonces }),
     });
-    framed.handleWith({
+    framed.setHandlers({
       onMessage: (message) => void this.#serve(framed, message),
       onClose: () => {},
     });
--- a/packages/transport/transport_test.ts
+++ b/packages/transport/transport_test.ts
@@ -26,8 +26,8 @@
   return new PeerPool({ secret, connectTimeout: 500, localHost: "" });
 }
 
-describe("peers", () => {
-  test("call each other, and hear of errors and timeouts", async () => {
+describe("PeerPool and PeerServer", () => {
+  test("calls return results, errors and timeouts", async () => {
     const pool = createPool();
     const call = (method: string, timeout = 1000) =>
       pool.call(ADDRESS, method, { parameters: { n: 1 }, timeout });
@@ -39,7 +39,7 @@
     pool.close();
   });
 
-  test("without the secret are refused and get nothing", async () => {
+  test("a peer without the shared secret is refused", async () => {
     const pool = createPool("a wrong secret of some length");
     const options = { parameters: {}, timeout: 1000 };
     await expect(pool.call(ADDRESS, "echo", options)).rejects.toThrow();
@@ -47,7 +47,7 @@
     pool.close();
   });
 
-  test("that send any bytes do no harm to others", async () => {
+  test("arbitrary bytes on one connection don't affect another", async () => {
     await fc.assert(
       fc.asyncProperty(fc.uint8Array({ maxLength: 200 }), async (bytes) => {
         await new Promise<void>((resolve) => {
@@ -68,23 +68,23 @@
   });
 });
 
-describe("frames", () => {
-  test("come out whole however the bytes are cut, or are refused", () => {
+describe("frameCodec", () => {
+  test("decodes chunks of any size and refuses invalid frames", () => {
     fc.assert(
       fc.property(
         fc.array(fc.uint8Array({ maxLength: 40 }), { maxLength: 8 }),
         fc.array(fc.nat(30), { minLength: 1, maxLength: 40 }),
-        (payloads, cuts) => {
+        (payloads, chunkSizes) => {
           const bytes = Buffer.concat(
             payloads.map((payload) => frameCodec.encode(Buffer.from(payload))),
           );
-          const found: Buffer[] = [];
+          const decodedPayloads: Buffer[] = [];
           let rest: Buffer = Buffer.alloc(0);
-          let place = 0;
-          for (let turn = 0; place < bytes.length; turn += 1) {
-            const step = 1 + cuts[turn % cuts.length]!;
-            const chunk = bytes.subarray(place, place + step);
-            place += step;
+          let offset = 0;
+          for (let round = 0; offset < bytes.length; round += 1) {
+            const step = 1 + chunkSizes[round % chunkSizes.length]!;
+            const chunk = bytes.subarray(offset, offset + step);
+            offset += step;
             const decoded = frameCodec.decode(
               Buffer.concat([rest, chunk]),
               100,
@@ -93,9 +93,9 @@
               throw new Error(decoded.reason);
             }
             rest = decoded.rest;
-            found.push(...decoded.payloads);
+            decodedPayloads.push(...decoded.payloads);
           }
-          expect(found.map((each) => [...each]))
+          expect(decodedPayloads.map((each) => [...each]))
             .toEqual(payloads.map((each) => [...each]));
         },
       ),
