--- a/apps/heroncleat/audit_command.ts
+++ b/apps/heroncleat/audit_command.ts
@@ -2,11 +2,11 @@
 import type { CommandContext } from "./command_context.ts";
 import type { CommandResult } from "./command_result.ts";
 import { formatTable } from "./format_table.ts";
-import { show } from "./show.ts";
+import { printResource } from "./print_resource.ts";
 
-/** Shows who asked for which change when, and what became of it. */
+/** Lists configuration changes with their operator, time and outcome. */
 export function auditCommand(context: CommandContext): Promise<CommandResult> {
-  return show<{ audit: AuditRecord[] }>(
+  return printResource<{ audit: AuditRecord[] }>(
     context,
     "/v1/operator/audit",
     ({ audit }) =>
--- a/apps/heroncleat/call_any_peer.ts
+++ b/apps/heroncleat/call_any_peer.ts
@@ -4,9 +4,9 @@
 import { Result } from "true-myth/result";
 import type { PeerContext } from "./peer_context.ts";
 
-const TIMEOUT: Milliseconds = 3000;
+const CALL_TIMEOUT: Milliseconds = 3000;
 
-/** Asks one replica after the other until one answers. */
+/** Calls the control replicas in order until one replies. */
 export async function callAnyPeer(
   context: PeerContext,
   method: string,
@@ -16,7 +16,7 @@
     return Result.err(createFault(
       "bad_request",
       "--peers is missing. Remedy: give the peer addresses of control " +
-        "replicas, --peers HOST:PORT[,...].",
+        "replicas with --peers HOST:PORT[,...].",
     ));
   }
   const secret = readSecret(context.secretFile);
@@ -25,14 +25,14 @@
   }
   const pool = new PeerPool({
     secret: secret.value,
-    connectTimeout: TIMEOUT,
+    connectTimeout: CALL_TIMEOUT,
     localHost: "",
   });
   const problems: string[] = [];
   try {
     for (const address of splitList(context.peers)) {
       try {
-        const options = { parameters, timeout: TIMEOUT };
+        const options = { parameters, timeout: CALL_TIMEOUT };
         return Result.ok(await pool.call(address, method, options));
       } catch (error) {
         problems.push(`${address}: ${(error as Error).message}`);
@@ -43,7 +43,7 @@
   }
   return Result.err(createFault(
     "no_quorum",
-    `No control replica answered (${problems.join("; ")}). Remedy: check ` +
+    `No control replica replied (${problems.join("; ")}). Remedy: check ` +
       "--peers and --secret-file.",
   ));
 }
@@ -58,8 +58,8 @@
   } catch (error) {
     return Result.err(createFault(
       "settings",
-      `${file} can't be read (${(error as Error).message}). Remedy: name a ` +
-        "file that holds the processes' shared secret with --secret-file.",
+      `${file} can't be read (${(error as Error).message}). Remedy: give ` +
+        "a file with the shared secret of the processes in --secret-file.",
     ));
   }
 }
--- a/apps/heroncleat/command_context.ts
+++ b/apps/heroncleat/command_context.ts
@@ -1,10 +1,10 @@
 import type { OperatorClient } from "./operator_client.ts";
 
-/** What a command of the tool works with. */
+/** Inputs of a command that calls the operator API. */
 export type CommandContext = {
   readonly client: OperatorClient;
-  /** Words behind the command's name. */
-  readonly words: readonly string[];
+  /** Positional arguments after the command's name. */
+  readonly args: readonly string[];
   readonly json: boolean;
   readonly options: Readonly<Record<string, string | undefined>>;
   readonly print: (text: string) => void;
--- a/apps/heroncleat/command_result.ts
+++ b/apps/heroncleat/command_result.ts
@@ -1,5 +1,5 @@
 import type { Fault } from "@heroncleat/base";
 import type { Result } from "true-myth/result";
 
-/** What a command came to: an exit code, or why it could not run. */
+/** Exit code of a command, or the fault that kept it from running. */
 export type CommandResult = Result<number, Fault>;
--- a/apps/heroncleat/explain/clock_offsets.ts
+++ b/apps/heroncleat/explain/clock_offsets.ts
@@ -1,41 +1,41 @@
 import type { LogLine } from "./log_line.ts";
 
-/** Differences below this are within what the clocks' estimate can tell. */
-const LEAST_OFFSET = 50;
+/** Smaller offsets are within the error of the clock estimate. */
+const MIN_OFFSET_MS = 50;
 
 /**
- * How far processes' wall clocks are ahead of true time, in ms, as the entries
- * among them say in their lines. Processes that say nothing count as right.
+ * Offsets of the processes' wall clocks from true time, in ms, as the entries
+ * log them. Positive means ahead. A process that logs no offset gets 0.
  */
 export class ClockOffsets {
-  readonly #told = new Map<string, { at: number; ahead: number }[]>();
+  readonly #samples = new Map<string, { at: number; ahead: number }[]>();
 
   constructor(lines: readonly LogLine[]) {
     for (const { process, at, fields } of lines) {
       const ahead = fields["clockAhead"];
       if (typeof ahead === "number") {
-        const told = this.#told.get(process) ?? [];
-        told.push({ at, ahead });
-        this.#told.set(process, told);
+        const processSamples = this.#samples.get(process) ?? [];
+        processSamples.push({ at, ahead });
+        this.#samples.set(process, processSamples);
       }
     }
   }
 
-  /** The offset that a process told nearest to a line of its own. */
-  of(line: LogLine): number {
+  /** The offset that the process logged closest in time to one of its lines. */
+  offsetAt(line: LogLine): number {
     let nearest = 0;
     let distance = Infinity;
-    for (const { at, ahead } of this.#told.get(line.process) ?? []) {
+    for (const { at, ahead } of this.#samples.get(line.process) ?? []) {
       if (Math.abs(at - line.at) < distance) {
         distance = Math.abs(at - line.at);
         nearest = ahead;
       }
     }
-    return Math.abs(nearest) < LEAST_OFFSET ? 0 : nearest;
+    return Math.abs(nearest) < MIN_OFFSET_MS ? 0 : nearest;
   }
 
-  /** When a line was written, in true time since 1970. */
+  /** When a line was written, corrected by the offset, in ms since 1970. */
   trueTime(line: LogLine): number {
-    return line.at - this.of(line);
+    return line.at - this.offsetAt(line);
   }
 }
--- a/apps/heroncleat/explain/explain_command.ts
+++ b/apps/heroncleat/explain/explain_command.ts
@@ -6,36 +6,36 @@
 import { explainRequest } from "./explain_request.ts";
 import { formatExplanation } from "./format_explanation.ts";
 
-/** What `heroncleat explain` works with; it calls no process. */
+/** Inputs of `heroncleat explain`, which reads log files only. */
 type ExplainOptions = {
-  /** The request's identifier, then more log files. */
-  readonly words: readonly string[];
+  /** The request ID, then further log files. */
+  readonly args: readonly string[];
   /** The first log file. */
   readonly logs: string | undefined;
   readonly json: boolean;
   readonly print: (text: string) => void;
 };
 
-/** Shows what the logs of several processes tell of one request. */
+/** Prints the timeline of one request from the logs of several processes. */
 export function explainCommand(options: ExplainOptions): CommandResult {
-  const [request, ...more] = options.words;
+  const [request, ...moreFiles] = options.args;
   if (request === undefined || options.logs === undefined) {
     return Result.err(createFault(
       "bad_request",
-      "explain needs an identifier and files. Remedy: heroncleat explain " +
-        "REQUEST_ID --logs FILE [FILE ...].",
+      "explain needs a request ID and log files. Remedy: use heroncleat " +
+        "explain REQUEST_ID --logs FILE [FILE ...].",
     ));
   }
-  const read = readLogFiles([options.logs, ...more]);
-  if (read.isErr) {
-    return Result.err(read.error);
+  const logLines = readLogFiles([options.logs, ...moreFiles]);
+  if (logLines.isErr) {
+    return Result.err(logLines.error);
   }
-  const explanation = explainRequest(request, read.value);
+  const explanation = explainRequest(request, logLines.value);
   if (explanation === undefined) {
     return Result.err(createFault(
       "not_found",
-      `No line of these logs names request ${request}. Remedy: give the logs ` +
-        "of all entries of that time.",
+      `These logs have no line about request ${request}. Remedy: give the ` +
+        "logs of all entries for the time of the request.",
     ));
   }
   options.print(
--- a/apps/heroncleat/explain/explain_request.ts
+++ b/apps/heroncleat/explain/explain_request.ts
@@ -2,76 +2,79 @@
 import type { LogLine } from "./log_line.ts";
 import { type LoggedAttempt, readAttempts } from "./read_attempts.ts";
 
-/** Time before a request from which other events may have to do with it. */
-const LOOK_BACK = 3000;
-/** Other requests at the same upstreams that are shown, longest first. */
-const MOST_NEIGHBOURS = 5;
-/** A first byte that is later than expected by so much is pointed out. */
-const LATE_BY = 200;
-const MOST_PARTS = 6;
-const END = "gateway: A request ended";
+/** Events up to this long before a request are shown with it. */
+const LOOKBACK_MS = 3000;
+/** Concurrent requests at the same upstreams to show, longest prompt first. */
+const MAX_CONCURRENT_REQUESTS = 5;
+/** A first byte that is later than expected by more than this gets a hint. */
+const LATE_THRESHOLD_MS = 200;
+const MAX_FIELDS = 6;
+const REQUEST_END_PREFIX = "gateway: A request ended";
 
-/** One step in the life of a request. */
+/** One event on the timeline of a request. */
 export type TimelineStep = {
-  /** True time since 1970, in ms. */
+  /** Time corrected by the clock offset, in ms since 1970. */
   readonly at: number;
   readonly process: string;
   readonly text: string;
-  /** How far the process's clock was ahead, in ms; 0 for a right clock. */
+  /** Offset of the process's clock, in ms; positive if it was ahead. */
   readonly clockAhead: number;
 };
 
-/** What the logs tell of one request. */
+/** Timeline of one request, from the logs of several processes. */
 export type Explanation = {
   readonly request: string;
   readonly steps: readonly TimelineStep[];
-  /** Events beside it that may have to do with it. */
+  /** Other events at that time that may be related. */
   readonly around: readonly TimelineStep[];
-  /** What the steps point to. */
+  /** Likely causes of a failure or a delay. */
   readonly hints: readonly string[];
 };
 
-/** Merges what processes logged of one request; nothing if none did. */
+/** Merges the lines that processes logged about one request, if any did. */
 export function explainRequest(
   request: string,
   lines: readonly LogLine[],
 ): Explanation | undefined {
-  const own = lines.filter(({ fields }) => fields["request"] === request);
-  if (own.length === 0) {
+  const requestLines = lines.filter(({ fields }) =>
+    fields["request"] === request
+  );
+  if (requestLines.length === 0) {
     return undefined;
   }
   const clocks = new ClockOffsets(lines);
   const steps: TimelineStep[] = [];
   const attempts: LoggedAttempt[] = [];
-  for (const line of own) {
-    const found = readAttempts(String(line.fields["attempts"] ?? ""));
-    attempts.push(...found);
-    steps.push(...stepsOf(line, { clocks, attempts: found }));
+  for (const line of requestLines) {
+    const lineAttempts = readAttempts(String(line.fields["attempts"] ?? ""));
+    attempts.push(...lineAttempts);
+    steps.push(...buildSteps(line, { clocks, attempts: lineAttempts }));
   }
   steps.sort((left, right) => left.at - right.at);
-  const from = steps[0]!.at - LOOK_BACK;
+  const from = steps[0]!.at - LOOKBACK_MS;
   const until = steps.at(-1)!.at;
-  // A request's line is written at its end, which may come after this one's.
-  const near = lines.filter((line) => {
+  // A request is logged when it ends, so a concurrent one may be logged after
+  // this one.
+  const nearbyLines = lines.filter((line) => {
     const endedAt = clocks.trueTime(line);
     const beganAt = endedAt - Number(line.fields["took"] ?? 0);
     return endedAt >= from && beganAt <= until &&
       line.fields["request"] !== request;
   });
   const around = [
-    ...eventsOf(near, { clocks, own }),
-    ...neighboursOf(near, { clocks, attempts }),
+    ...findRelatedEvents(nearbyLines, { clocks, requestLines }),
+    ...findConcurrentRequests(nearbyLines, { clocks, attempts }),
   ].sort((left, right) => left.at - right.at);
-  return { request, steps, around, hints: hintsOf(own, attempts) };
+  return { request, steps, around, hints: buildHints(requestLines, attempts) };
 }
 
-function stepsOf(
+function buildSteps(
   line: LogLine,
   options: { clocks: ClockOffsets; attempts: readonly LoggedAttempt[] },
 ): TimelineStep[] {
   const { clocks, attempts } = options;
   const endedAt = clocks.trueTime(line);
-  const clockAhead = clocks.of(line);
+  const clockAhead = clocks.offsetAt(line);
   const { process } = line;
   const took = Number(line.fields["took"] ?? 0);
   const arrivedAt = endedAt - took;
@@ -82,12 +85,14 @@
     clockAhead,
   });
   const steps: TimelineStep[] = [];
-  if (line.message.startsWith(END)) {
-    steps.push(step(arrivedAt, `arrived (${describe(line, "attempts")})`));
+  if (line.message.startsWith(REQUEST_END_PREFIX)) {
+    steps.push(step(arrivedAt, `arrived (${formatFields(line, "attempts")})`));
   }
   for (const attempt of attempts) {
     const sentAt = arrivedAt + attempt.sentAfter;
-    steps.push(step(sentAt, `sent to ${attempt.upstream} (${attempt.facts})`));
+    steps.push(
+      step(sentAt, `sent to ${attempt.upstream} (${attempt.details})`),
+    );
     if (attempt.firstByte !== undefined) {
       const at = sentAt + attempt.firstByte;
       steps.push(step(at, `first byte of ${attempt.upstream}`));
@@ -96,84 +101,89 @@
   const outcomes = attempts.map(({ upstream, outcome }) =>
     `${upstream}: ${outcome}`
   );
-  const ending = line.message.startsWith(END)
+  const endText = line.message.startsWith(REQUEST_END_PREFIX)
     ? [line.message, ...outcomes].join("; ")
-    : `${line.message} (${describe(line, "request")})`;
-  steps.push(step(endedAt, ending));
+    : `${line.message} (${formatFields(line, "request")})`;
+  steps.push(step(endedAt, endText));
   return steps;
 }
 
-/** Lost dependencies, restarts, configurations and orders, not requests. */
-function eventsOf(
-  near: readonly LogLine[],
-  options: { clocks: ClockOffsets; own: readonly LogLine[] },
+/** Finds events other than requests, such as restarts and orders. */
+function findRelatedEvents(
+  nearbyLines: readonly LogLine[],
+  options: { clocks: ClockOffsets; requestLines: readonly LogLine[] },
 ): TimelineStep[] {
-  const { clocks, own } = options;
-  const entries = new Set(own.map(({ process }) => process));
+  const { clocks, requestLines } = options;
+  const entryNames = new Set(requestLines.map(({ process }) => process));
   const events: TimelineStep[] = [];
-  for (const line of near) {
+  for (const line of nearbyLines) {
     const isRequest = line.fields["request"] !== undefined;
-    const isAtEntry = entries.has(line.process);
-    const isOfGroup = /^(duties|group|consensus|daemon):/.test(line.message);
-    if (!isRequest && (isAtEntry || isOfGroup)) {
+    const isFromEntry = entryNames.has(line.process);
+    const isClusterEvent = /^(duties|group|consensus|daemon):/.test(
+      line.message,
+    );
+    if (!isRequest && (isFromEntry || isClusterEvent)) {
       events.push({
         at: clocks.trueTime(line),
         process: line.process,
-        text: `${line.message} (${describe(line, "")})`,
-        clockAhead: clocks.of(line),
+        text: `${line.message} (${formatFields(line, "")})`,
+        clockAhead: clocks.offsetAt(line),
       });
     }
   }
   return events;
 }
 
-/** The longest prompts that went to the same upstreams meanwhile. */
-function neighboursOf(
-  near: readonly LogLine[],
+/** Finds concurrent requests at the same upstreams, longest prompt first. */
+function findConcurrentRequests(
+  nearbyLines: readonly LogLine[],
   options: { clocks: ClockOffsets; attempts: readonly LoggedAttempt[] },
 ): TimelineStep[] {
   const { clocks, attempts } = options;
   const upstreams = new Set(attempts.map(({ upstream }) => upstream));
-  const shared = near.filter(({ fields }) =>
+  const concurrent = nearbyLines.filter(({ fields }) =>
     readAttempts(String(fields["attempts"] ?? "")).some(({ upstream }) =>
       upstreams.has(upstream)
     )
   );
-  const size = ({ fields }: LogLine) => Number(fields["promptTokens"] ?? 0);
-  shared.sort((left, right) => size(right) - size(left));
-  return shared.slice(0, MOST_NEIGHBOURS).map((line) => ({
+  const promptTokensOf = ({ fields }: LogLine) =>
+    Number(fields["promptTokens"] ?? 0);
+  concurrent.sort((left, right) =>
+    promptTokensOf(right) - promptTokensOf(left)
+  );
+  return concurrent.slice(0, MAX_CONCURRENT_REQUESTS).map((line) => ({
     at: clocks.trueTime(line) - Number(line.fields["took"] ?? 0),
     process: line.process,
     text: `at the same upstream: request ${line.fields["request"]} ` +
-      `(promptTokens=${size(line)} took=${line.fields["took"]})`,
-    clockAhead: clocks.of(line),
+      `(promptTokens=${promptTokensOf(line)} took=${line.fields["took"]})`,
+    clockAhead: clocks.offsetAt(line),
   }));
 }
 
-/** How the line of a request's end says why it wasn't sent on. */
-const ENDED_UNDER_IT = "upstreams ended under it";
+/** Logged for a request that isn't forwarded as upstreams crashed on it. */
+const CRASH_REJECTION = "upstreams ended under it";
 
-function hintsOf(
-  own: readonly LogLine[],
+function buildHints(
+  requestLines: readonly LogLine[],
   attempts: readonly LoggedAttempt[],
 ): string[] {
   const hints: string[] = [];
-  for (const { message, fields } of own) {
+  for (const { message, fields } of requestLines) {
     if (message.startsWith("gateway: Refused")) {
       hints.push(`Refused with ${fields["status"]}: ${fields["reason"]}`);
     }
-    if (String(fields["attempts"]).includes(ENDED_UNDER_IT)) {
+    if (String(fields["attempts"]).includes(CRASH_REJECTION)) {
       hints.push(
-        "Upstreams ended under this very request; heroncleat suspects shows " +
-          "which, and suspect-clear has it sent on again.",
+        "Upstreams crashed while running this request; heroncleat suspects " +
+          "lists it, and suspect-clear allows forwarding it again.",
       );
     }
   }
   for (const { upstream, outcome, expected, firstByte } of attempts) {
-    if (firstByte !== undefined && firstByte - expected > LATE_BY) {
+    if (firstByte !== undefined && firstByte - expected > LATE_THRESHOLD_MS) {
       hints.push(
         `${upstream} began ${firstByte - expected} ms later than expected; ` +
-          "look at the other requests there.",
+          "check the other requests at this upstream.",
       );
     }
     if (outcome.startsWith("not run")) {
@@ -181,22 +191,22 @@
     }
     if (outcome.startsWith("unknown, ABORT_ERR")) {
       hints.push(
-        `${upstream} had not answered when the route's or the caller's time ` +
-          "was up, or when the caller left.",
+        `${upstream} had not answered when the timeout of the route or the ` +
+          "caller's deadline expired, or when the caller disconnected.",
       );
     } else if (outcome.startsWith("unknown") || outcome.includes("broken")) {
-      hints.push(`${upstream} or the path to it broke off: ${outcome}.`);
+      hints.push(`${upstream} or the connection to it failed: ${outcome}.`);
     }
   }
   return hints;
 }
 
-function describe(line: LogLine, without: string): string {
-  const parts: string[] = [];
+function formatFields(line: LogLine, excluded: string): string {
+  const pairs: string[] = [];
   for (const [name, value] of Object.entries(line.fields)) {
-    if (name !== without && name !== "request" && value !== "") {
-      parts.push(`${name}=${value}`);
+    if (name !== excluded && name !== "request" && value !== "") {
+      pairs.push(`${name}=${value}`);
     }
   }
-  return parts.slice(0, MOST_PARTS).join(" ");
+  return pairs.slice(0, MAX_FIELDS).join(" ");
 }
--- a/apps/heroncleat/explain/explain_test.ts
+++ b/apps/heroncleat/explain/explain_test.ts
@@ -27,7 +27,7 @@
   attempts: "u7: 200 done (sent_after=5ms expected=80ms uncached=1900 " +
     "news_age=40ms first_byte=1200ms)",
 });
-const neighbour = line(3400, "entry-b", "gateway: A request ended: answered", {
+const concurrent = line(3400, "entry-b", "gateway: A request ended: answered", {
   request: "r2",
   status: 200,
   took: 1500,
@@ -38,9 +38,9 @@
     "news_age=20ms first_byte=1400ms)",
 });
 
-describe("the explanation of a request", () => {
-  test("merges its steps and says when the upstream was late", () => {
-    const { steps, hints } = explainRequest("r1", [neighbour, late])!;
+describe("explainRequest", () => {
+  test("orders the steps of a request and reports a late first byte", () => {
+    const { steps, hints } = explainRequest("r1", [concurrent, late])!;
     expect(steps.map(({ at, text }) => [at - START, text.slice(0, 16)]))
       .toEqual([
         [0, "arrived (status="],
@@ -51,7 +51,7 @@
     expect(hints[0]).toMatch(/^u7 began 1120 ms later than expected/);
   });
 
-  test("says when upstreams ended under the request", () => {
+  test("reports that upstreams crashed while running the request", () => {
     const rejected = line(10, "entry-a", "gateway: A request ended: refused", {
       request: "r3",
       status: 400,
@@ -63,8 +63,8 @@
     expect(hints).toEqual([expect.stringContaining("heroncleat suspects")]);
   });
 
-  test("shows who else was at the upstream, by true time", () => {
-    const { around } = explainRequest("r1", [late, neighbour])!;
+  test("lists concurrent requests at the upstream, with corrected times", () => {
+    const { around } = explainRequest("r1", [late, concurrent])!;
     expect(around[0]).toMatchObject({
       process: "entry-b",
       clockAhead: 2000,
@@ -73,7 +73,7 @@
     expect(around[0]?.text).toMatch(/request r2 \(promptTokens=48000/);
   });
 
-  test("shows lost dependencies and orders beside a refusal", () => {
+  test("lists lost connections and orders around a refusal", () => {
     const refused = line(500, "entry-a", "gateway: Refused a request", {
       request: "r3",
       status: 429,
@@ -99,7 +99,7 @@
     expect(explained.hints[0]).toMatch(/^Refused with 429/);
   });
 
-  test("tells a send that did not run from one that may have", () => {
+  test("distinguishes attempts that did not run from unknown outcomes", () => {
     const failed = line(900, "entry-a", "gateway: A request ended: failed", {
       request: "r4",
       status: 504,
@@ -112,7 +112,7 @@
     expect(hints[1]).toMatch(/^u2 had not answered/);
   });
 
-  test("reads lines behind a collector's prefix and passes over others", () => {
+  test("parses lines with a log collector's prefix and ignores others", () => {
     const text = `  12.5 vm-1 {"time":"2026-12-02T08:00:00.000Z","level":` +
       `"info","process":"entry-a","message":"m","request":"r1"}`;
     expect(readLogLine(text)).toMatchObject({ at: START, process: "entry-a" });
@@ -127,15 +127,15 @@
   afterAll(() => rmSync(folder, { recursive: true }));
   const file = join(folder, "entry-a.log");
   const printed: string[] = [];
-  const run = (words: string[], logs: string | undefined) =>
+  const run = (args: string[], logs: string | undefined) =>
     explainCommand({
-      words,
+      args,
       logs,
       json: false,
       print: (text) => printed.push(text),
     });
 
-  test("prints a timeline of the files it is given", () => {
+  test("prints a timeline from the given files", () => {
     const { at, process, level, message, fields } = late;
     const time = new Date(at).toISOString();
     writeFileSync(
@@ -146,7 +146,7 @@
     expect(printed[0]).toMatch(/first byte of u7/);
   });
 
-  test("says what is missing and the remedy", () => {
+  test("reports missing input with a remedy", () => {
     const messages = [
       run([], file),
       run(["r1"], undefined),
--- a/apps/heroncleat/explain/format_explanation.ts
+++ b/apps/heroncleat/explain/format_explanation.ts
@@ -1,7 +1,7 @@
 import { formatTable } from "../format_table.ts";
 import type { Explanation, TimelineStep } from "./explain_request.ts";
 
-/** An explanation as text for a terminal. */
+/** Formats an explanation as text for a terminal. */
 export function formatExplanation(explanation: Explanation): string {
   const { request, steps, around, hints } = explanation;
   const startedAt = steps[0]!.at;
@@ -16,12 +16,12 @@
         text,
       ]),
     );
-  const parts = [`Request ${request}`, table(steps)];
+  const sections = [`Request ${request}`, table(steps)];
   if (around.length > 0) {
-    parts.push("Meanwhile", table(around));
+    sections.push("Other events at that time", table(around));
   }
   if (hints.length > 0) {
-    parts.push(["Look at", ...hints.map((hint) => `- ${hint}`)].join("\n"));
+    sections.push(["Hints", ...hints.map((hint) => `- ${hint}`)].join("\n"));
   }
-  return parts.join("\n\n");
+  return sections.join("\n\n");
 }
--- a/apps/heroncleat/explain/log_line.ts
+++ b/apps/heroncleat/explain/log_line.ts
@@ -1,10 +1,10 @@
-/** One line of a process's log. */
+/** One line of the log of a heroncleat process. */
 export type LogLine = {
   /** Wall clock of the process, in ms since 1970. */
   readonly at: number;
   readonly process: string;
   readonly level: string;
   readonly message: string;
-  /** Everything else that the line says. */
+  /** All other fields of the line. */
   readonly fields: Readonly<Record<string, string | number>>;
 };
--- a/apps/heroncleat/explain/read_attempts.ts
+++ b/apps/heroncleat/explain/read_attempts.ts
@@ -1,38 +1,40 @@
-/** One attempt at an upstream as an entry's log tells it. */
+/** One attempt at an upstream, as an entry logged it. */
 export type LoggedAttempt = {
   readonly upstream: string;
   readonly outcome: string;
-  /** Times in ms after the request arrived, or after the send. */
+  /** Time from the arrival of the request to the send, in ms. */
   readonly sentAfter: number;
+  /** Expected time from the send to the first byte, in ms. */
   readonly expected: number;
+  /** Measured time from the send to the first byte, in ms. */
   readonly firstByte: number | undefined;
-  /** Everything that the entry says of the attempt. */
-  readonly facts: string;
+  /** All `key=value` pairs that the entry logged with the attempt. */
+  readonly details: string;
 };
 
-const ATTEMPT = /^(\S+): (.*?) \(([^()]*)\)$/;
+const ATTEMPT_PATTERN = /^(\S+): (.*?) \(([^()]*)\)$/;
 
-/** Reads the attempts that the line of a request's end lists. */
+/** Parses the `attempts` field of the line that an ended request leaves. */
 export function readAttempts(text: string): LoggedAttempt[] {
   const attempts: LoggedAttempt[] = [];
   for (const part of text.split("; ")) {
-    const [, upstream, outcome, facts] = ATTEMPT.exec(part) ?? [];
-    if (upstream === undefined || facts === undefined) {
+    const [, upstream, outcome, details] = ATTEMPT_PATTERN.exec(part) ?? [];
+    if (upstream === undefined || details === undefined) {
       continue;
     }
     attempts.push({
       upstream,
       outcome: outcome ?? "",
-      sentAfter: readFact(facts, "sent_after") ?? 0,
-      expected: readFact(facts, "expected") ?? 0,
-      firstByte: readFact(facts, "first_byte"),
-      facts,
+      sentAfter: readDetail(details, "sent_after") ?? 0,
+      expected: readDetail(details, "expected") ?? 0,
+      firstByte: readDetail(details, "first_byte"),
+      details,
     });
   }
   return attempts;
 }
 
-function readFact(facts: string, name: string): number | undefined {
-  const found = new RegExp(`(?:^| )${name}=(-?\\d+)`).exec(facts)?.[1];
-  return found === undefined ? undefined : Number(found);
+function readDetail(details: string, name: string): number | undefined {
+  const match = new RegExp(`(?:^| )${name}=(-?\\d+)`).exec(details)?.[1];
+  return match === undefined ? undefined : Number(match);
 }
--- a/apps/heroncleat/explain/read_log_line.ts
+++ b/apps/heroncleat/explain/read_log_line.ts
@@ -1,8 +1,8 @@
 import type { LogLine } from "./log_line.ts";
 
 /**
- * Reads one line of a log; nothing if it isn't one of ours. Collectors put
- * their own text before the JSON, so it begins at the first brace.
+ * Parses one line of a log; returns nothing for lines of other programs. Log
+ * collectors put a prefix before the JSON, so it begins at the first brace.
  */
 export function readLogLine(text: string): LogLine | undefined {
   const start = text.indexOf("{");
@@ -23,9 +23,9 @@
     unknown
   >;
   const at = typeof time === "string" ? Date.parse(time) : NaN;
-  const isOurs = !Number.isNaN(at) && typeof process === "string" &&
+  const isLogLine = !Number.isNaN(at) && typeof process === "string" &&
     typeof message === "string";
-  if (!isOurs) {
+  if (!isLogLine) {
     return undefined;
   }
   const fields: Record<string, string | number> = {};
--- a/apps/heroncleat/format_table.ts
+++ b/apps/heroncleat/format_table.ts
@@ -1,6 +1,6 @@
-const GAP = "  ";
+const COLUMN_GAP = "  ";
 
-/** Lays out rows under headings, columns as wide as their longest cell. */
+/** Formats rows under headings, each column as wide as its longest cell. */
 export function formatTable(
   headings: readonly string[],
   rows: readonly (readonly unknown[])[],
@@ -10,7 +10,8 @@
     Math.max(heading.length, ...cells.map((row) => row[column]?.length ?? 0))
   );
   const lines = [headings, ...cells].map((row) =>
-    row.map((cell, column) => cell.padEnd(widths[column]!)).join(GAP).trimEnd()
+    row.map((cell, column) => cell.padEnd(widths[column]!)).join(COLUMN_GAP)
+      .trimEnd()
   );
   return lines.join("\n");
 }
--- a/apps/heroncleat/group_commands.ts
+++ b/apps/heroncleat/group_commands.ts
@@ -5,16 +5,16 @@
 import type { CommandResult } from "./command_result.ts";
 import { formatTable } from "./format_table.ts";
 import { parsePairs } from "./parse_pairs.ts";
-import { show } from "./show.ts";
+import { printResource } from "./print_resource.ts";
 import { submitChange } from "./submit_change.ts";
 import { usageFault } from "./usage_fault.ts";
 
-const MOST_SHARE = 100;
+const MAX_SHARE = 100;
 
-/** Commands about groups, and the migration between them. */
+/** Commands that list and change groups and migrate between them. */
 export const groupCommands = {
   list(context: CommandContext): Promise<CommandResult> {
-    return show<ConfigurationView>(
+    return printResource<ConfigurationView>(
       context,
       "/v1/operator/configuration",
       (view) =>
@@ -32,21 +32,21 @@
 
   /** `group-set NAME key=value ...` */
   set(context: CommandContext): Promise<CommandResult> {
-    const [name, ...pairs] = context.words;
+    const [name, ...pairs] = context.args;
     return submitChange(context, (view) => {
       if (name === undefined) {
-        return missingName("group-set NAME key=value ...");
+        return missingNameError("group-set NAME key=value ...");
       }
       const labels = parsePairs(pairs);
       if (labels.isErr) {
         return Result.err(labels.error);
       }
-      const before = view.groups[name];
-      const share = readShare(context, before?.share ?? MOST_SHARE);
+      const existing = view.groups[name];
+      const share = readShare(context, existing?.share ?? MAX_SHARE);
       if (share.isErr) {
         return Result.err(share.error);
       }
-      const state = before?.state ?? "serving";
+      const state = existing?.state ?? "serving";
       return setGroup({
         name,
         labels: labels.value,
@@ -57,17 +57,17 @@
   },
 
   remove(context: CommandContext): Promise<CommandResult> {
-    const [name] = context.words;
+    const [name] = context.args;
     return submitChange(
       context,
       () =>
         name === undefined
-          ? missingName("group-remove NAME")
+          ? missingNameError("group-remove NAME")
           : Result.ok([{ kind: "group_removed", name }]),
     );
   },
 
-  /** Sends nothing new to a group. */
+  /** Stops new requests to a group. */
   drain(context: CommandContext): Promise<CommandResult> {
     return submitChange(
       context,
@@ -80,17 +80,17 @@
     );
   },
 
-  /** Sends a share of the traffic to a group. */
+  /** Sends requests to a group, with a share as its weight. */
   fill(context: CommandContext): Promise<CommandResult> {
     return submitChange(
       context,
       (view) =>
         changeGroup(view, context, (group) => {
-          const share = readShare(context, MOST_SHARE);
+          const share = readShare(context, MAX_SHARE);
           if (share.isErr) {
             return Result.err(share.error);
           }
-          const state = share.value === MOST_SHARE ? "serving" : "filling";
+          const state = share.value === MAX_SHARE ? "serving" : "filling";
           return Result.ok({ ...group, state, share: share.value });
         }),
     );
@@ -102,9 +102,9 @@
   context: CommandContext,
   change: (group: Group) => Result<Group, Fault>,
 ): Result<Edit[], Fault> {
-  const [name] = context.words;
+  const [name] = context.args;
   if (name === undefined) {
-    return missingName("drain NAME, or fill NAME --share N");
+    return missingNameError("drain NAME, or fill NAME --share N");
   }
   const group = view.groups[name];
   if (group === undefined) {
@@ -125,14 +125,17 @@
   fallback: number,
 ): Result<number, Fault> {
   const share = Number(context.options["share"] ?? fallback);
-  if (!Number.isInteger(share) || share < 0 || share > MOST_SHARE) {
+  if (!Number.isInteger(share) || share < 0 || share > MAX_SHARE) {
     return Result.err(
-      usageFault("--share is not a whole number", "use one from 0 to 100"),
+      usageFault(
+        "--share is not an integer from 0 to 100",
+        "use a weight such as 50",
+      ),
     );
   }
   return Result.ok(share);
 }
 
-function missingName(usage: string): Result<Edit[], Fault> {
-  return Result.err(usageFault("A name is missing", `write ${usage}`));
+function missingNameError(usage: string): Result<Edit[], Fault> {
+  return Result.err(usageFault("The group name is missing", `use ${usage}`));
 }
--- a/apps/heroncleat/limit_commands.ts
+++ b/apps/heroncleat/limit_commands.ts
@@ -4,18 +4,18 @@
 import type { CommandContext } from "./command_context.ts";
 import type { CommandResult } from "./command_result.ts";
 import { formatTable } from "./format_table.ts";
-import { show } from "./show.ts";
+import { printResource } from "./print_resource.ts";
 import { submitChange } from "./submit_change.ts";
 import { usageFault } from "./usage_fault.ts";
 
 const DEFAULT_WEIGHT = 1;
-const DEFAULT_RUNNING = 1000;
-const DEFAULT_QUEUED = 1000;
+const DEFAULT_MAX_RUNNING = 1000;
+const DEFAULT_MAX_QUEUED = 1000;
 
-/** Commands about the limits of workspaces. */
+/** Commands that list and change the limits of workspaces. */
 export const limitCommands = {
   list(context: CommandContext): Promise<CommandResult> {
-    return show<ConfigurationView>(
+    return printResource<ConfigurationView>(
       context,
       "/v1/operator/configuration",
       (view) =>
@@ -36,12 +36,12 @@
   },
 
   remove(context: CommandContext): Promise<CommandResult> {
-    const [workspace] = context.words;
+    const [workspace] = context.args;
     return submitChange(
       context,
       () =>
         workspace === undefined
-          ? missingWorkspace()
+          ? missingWorkspaceError()
           : Result.ok([{ kind: "limit_removed", workspace }]),
     );
   },
@@ -51,24 +51,24 @@
   context: CommandContext,
   view: ConfigurationView,
 ): Result<Edit[], Fault> {
-  const [workspace] = context.words;
+  const [workspace] = context.args;
   if (workspace === undefined) {
-    return missingWorkspace();
+    return missingWorkspaceError();
   }
-  const before = view.limits[workspace];
+  const existing = view.limits[workspace];
   const { weight, running, queued } = context.options;
   const limit = {
     workspace,
-    weight: Number(weight ?? before?.weight ?? DEFAULT_WEIGHT),
-    maxRunning: Number(running ?? before?.maxRunning ?? DEFAULT_RUNNING),
-    maxQueued: Number(queued ?? before?.maxQueued ?? DEFAULT_QUEUED),
+    weight: Number(weight ?? existing?.weight ?? DEFAULT_WEIGHT),
+    maxRunning: Number(running ?? existing?.maxRunning ?? DEFAULT_MAX_RUNNING),
+    maxQueued: Number(queued ?? existing?.maxQueued ?? DEFAULT_MAX_QUEUED),
   };
   return Result.ok([{ kind: "limit_set", limit }]);
 }
 
-function missingWorkspace(): Result<Edit[], Fault> {
+function missingWorkspaceError(): Result<Edit[], Fault> {
   return Result.err(usageFault(
-    "A workspace is missing",
-    "write limit-set WORKSPACE [--weight N] [--running N] [--queued N]",
+    "The workspace is missing",
+    "use limit-set WORKSPACE [--weight N] [--running N] [--queued N]",
   ));
 }
--- a/apps/heroncleat/losses/ended_request.ts
+++ b/apps/heroncleat/losses/ended_request.ts
@@ -1,8 +1,8 @@
-/** How a request ended, as its entry's log tells it. */
+/** A request that ended or was refused, as its entry logged it. */
 export type EndedRequest = {
-  /** Wall clock of its entry at its end, in ms since 1970. */
+  /** When it ended by the entry's wall clock, in ms since 1970. */
   readonly at: number;
   readonly route: string;
-  /** What became of it; `ON_TIME` where nothing was lost. */
+  /** Why it was late, refused or failed; `ON_TIME` if none of these. */
   readonly reason: string;
 };
--- a/apps/heroncleat/losses/format_losses.ts
+++ b/apps/heroncleat/losses/format_losses.ts
@@ -2,12 +2,11 @@
 import type { EndedRequest } from "./ended_request.ts";
 import { ON_TIME } from "./on_time.ts";
 
-/** Length of a window of the table, in ms. */
-const WINDOW = 2000;
+const WINDOW_MS = 2000;
 
 /**
- * Two tables: losses by route and reason over all, and by window of 2 s with
- * what most of them were lost for.
+ * Formats two tables: all losses by route and reason, and the losses of each
+ * window of time with their most frequent reason.
  */
 export function formatLosses(requests: readonly EndedRequest[]): string {
   const lost = requests.filter(({ reason }) => reason !== ON_TIME);
@@ -27,26 +26,28 @@
   }
   const windows = new Map<number, EndedRequest[]>();
   for (const request of requests) {
-    const window = Math.floor((request.at - start) / WINDOW);
-    const known = windows.get(window) ?? [];
-    known.push(request);
-    windows.set(window, known);
+    const window = Math.floor((request.at - start) / WINDOW_MS);
+    const requestsInWindow = windows.get(window) ?? [];
+    requestsInWindow.push(request);
+    windows.set(window, requestsInWindow);
   }
   const rows: string[][] = [];
   for (const [window, ended] of [...windows].sort(([a], [b]) => a - b)) {
     const lost = ended.filter(({ reason }) => reason !== ON_TIME);
-    const [most] = countBy(lost, ({ reason }) => reason);
+    const [mostFrequent] = countBy(lost, ({ reason }) => reason);
     rows.push([
-      `${window * WINDOW / 1000} s`,
+      `${window * WINDOW_MS / 1000} s`,
       String(ended.length),
       String(lost.length),
-      most === undefined ? "" : `${most[0]} (${most[1]})`,
+      mostFrequent === undefined
+        ? ""
+        : `${mostFrequent[0]} (${mostFrequent[1]})`,
     ]);
   }
   return formatTable(["from", "ended", "lost", "most for"], rows);
 }
 
-/** Keys with how often each occurs, the most frequent first. */
+/** Counts the requests of each key, the most frequent key first. */
 function countBy(
   requests: readonly EndedRequest[],
   keyOf: (request: EndedRequest) => string,
--- a/apps/heroncleat/losses/losses_command.ts
+++ b/apps/heroncleat/losses/losses_command.ts
@@ -7,7 +7,7 @@
 import { formatLosses } from "./format_losses.ts";
 import { readEndedRequest } from "./read_ended_request.ts";
 
-/** Shows which requests the logs of all entries tell to be lost, and why. */
+/** Prints how many requests were late, refused or failed, and why. */
 export function lossesCommand(
   files: readonly string[],
   print: (text: string) => void,
@@ -15,15 +15,15 @@
   if (files.length === 0) {
     return Result.err(createFault(
       "bad_request",
-      "losses needs files. Remedy: heroncleat losses --logs FILE [FILE ...].",
+      "losses needs log files. Remedy: add --logs FILE [FILE ...].",
     ));
   }
-  const read = readLogFiles(files);
-  if (read.isErr) {
-    return Result.err(read.error);
+  const logLines = readLogFiles(files);
+  if (logLines.isErr) {
+    return Result.err(logLines.error);
   }
   const requests: EndedRequest[] = [];
-  for (const line of read.value) {
+  for (const line of logLines.value) {
     const ended = readEndedRequest(line);
     if (ended !== undefined) {
       requests.push(ended);
@@ -32,7 +32,7 @@
   if (requests.length === 0) {
     return Result.err(createFault(
       "not_found",
-      "These logs name no request's end. Remedy: give the logs of entries.",
+      "These logs list no ended request. Remedy: give the logs of entries.",
     ));
   }
   print(formatLosses(requests));
--- a/apps/heroncleat/losses/losses_test.ts
+++ b/apps/heroncleat/losses/losses_test.ts
@@ -18,7 +18,7 @@
 
 const reasonOf = (line: LogLine) => readEndedRequest(line)?.reason;
 
-describe("the losses of a day", () => {
+describe("losses", () => {
   test.each([
     ["on time", "u1: 200 done (sent_after=3ms expected=80ms first_byte=90ms)"],
     [
@@ -30,7 +30,7 @@
       "u1: 200 done (sent_after=3ms expected=880ms first_byte=900ms)",
     ],
     [
-      "late: held before it was sent",
+      "late: delayed before it was sent",
       "u1: 200 done (sent_after=300ms expected=80ms first_byte=250ms)",
     ],
     [
@@ -38,11 +38,11 @@
       "u1: unknown, ECONNRESET (sent_after=3ms expected=80ms); " +
       "u2: 200 done (sent_after=400ms expected=80ms first_byte=250ms)",
     ],
-  ])("tell of a request that it was %s", (reason, attempts) => {
+  ])("classifies a request as %s", (reason, attempts) => {
     expect(reasonOf(ended("answered", attempts))).toBe(reason);
   });
 
-  test("name the last outcome of one that failed, and why one was refused", () => {
+  test("names the last outcome of a failure and the reason of a refusal", () => {
     expect(reasonOf(ended("failed", "u1: 200 broken (sent_after=3ms)")))
       .toBe("failed: 200 broken");
     expect(reasonOf({
@@ -54,7 +54,7 @@
       .toBeUndefined();
   });
 
-  test("stand by reason and by window", () => {
+  test("are counted by reason and by window", () => {
     const requests = [0, 100, 2500, 2600].map((at) => ({
       at,
       route: "r",
--- a/apps/heroncleat/losses/on_time.ts
+++ b/apps/heroncleat/losses/on_time.ts
@@ -1,2 +1,2 @@
-/** Reason of a request that was answered within its objective. */
+/** Reason of a request whose response began within its latency objective. */
 export const ON_TIME = "on time";
--- a/apps/heroncleat/losses/read_ended_request.ts
+++ b/apps/heroncleat/losses/read_ended_request.ts
@@ -3,21 +3,21 @@
 import type { EndedRequest } from "./ended_request.ts";
 import { ON_TIME } from "./on_time.ts";
 
-const END = "gateway: A request ended";
-const REFUSAL = "gateway: Refused a request";
-/** Part of the objective behind which a send counts as held back. */
-const HELD_SHARE = 0.25;
+const REQUEST_END_PREFIX = "gateway: A request ended";
+const REFUSAL_PREFIX = "gateway: Refused a request";
+/** Share of the latency objective after which a send counts as delayed. */
+const DELAYED_SEND_SHARE = 0.25;
 
-/** Reads the line of a request's end; nothing of other lines. */
+/** Parses the line of an ended or refused request; ignores other lines. */
 export function readEndedRequest(line: LogLine): EndedRequest | undefined {
-  if (line.message.startsWith(REFUSAL)) {
+  if (line.message.startsWith(REFUSAL_PREFIX)) {
     return {
       at: line.at,
       route: String(line.fields["route"] ?? ""),
       reason: `refused ${line.fields["status"]}: ${firstClauseOf(line)}`,
     };
   }
-  if (!line.message.startsWith(END)) {
+  if (!line.message.startsWith(REQUEST_END_PREFIX)) {
     return undefined;
   }
   const attempts = readAttempts(String(line.fields["attempts"] ?? ""));
@@ -29,20 +29,20 @@
 }
 
 function reasonOf(line: LogLine, attempts: readonly LoggedAttempt[]): string {
-  const outcome = line.message.slice(END.length + 2);
+  const outcome = line.message.slice(REQUEST_END_PREFIX.length + 2);
   const last = attempts.at(-1);
   if (outcome !== "answered" || last === undefined) {
     return `${outcome}: ${last?.outcome ?? line.fields["attempts"]}`;
   }
   const status = Number(line.fields["status"] ?? 0);
   if (status >= 300) {
-    return `upstream's own failure: ${last.outcome}`;
+    return `upstream returned an error: ${last.outcome}`;
   }
   const objective = Number(line.fields["objective"] ?? Infinity);
-  const answered = last.firstByte === undefined
+  const responseTime = last.firstByte === undefined
     ? Number(line.fields["took"] ?? 0)
     : last.sentAfter + last.firstByte;
-  return answered <= objective
+  return responseTime <= objective
     ? ON_TIME
     : lateReasonOf(last, { objective, count: attempts.length });
 }
@@ -55,8 +55,8 @@
   if (count > 1) {
     return "late: earlier attempt failed";
   }
-  if (last.sentAfter > objective * HELD_SHARE) {
-    return "late: held before it was sent";
+  if (last.sentAfter > objective * DELAYED_SEND_SHARE) {
+    return "late: delayed before it was sent";
   }
   return last.expected > objective
     ? "late: as expected, all upstreams were busy"
--- a/apps/heroncleat/main.ts
+++ b/apps/heroncleat/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The operators' command-line tool.
+ * The command-line tool for operators.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 import { watchCommand } from "./watch_command.ts";
 
 const VERSION = "0.1.0";
-const HELP = `heroncleat, the operators' tool.
+const HELP = `heroncleat, the command-line tool for operators.
 
 Usage: heroncleat --control HOST:PORT[,...] --token-file FILE COMMAND
 
@@ -31,8 +31,8 @@
   groups                                all groups
   group-set NAME key=value ... [--share N]
   group-remove NAME
-  drain NAME                            send no new work to a group
-  fill NAME --share N                   send a share of the work to a group
+  drain NAME                            send no new requests to a group
+  fill NAME --share N                   send requests to a group with weight N
   selectors                             all selectors
   selector-set NAME --groups A,B [--order N] [--idempotent true|false]
                [workspace=W] [model=M] [service=S] [method=M] [pathPrefix=P]
@@ -40,34 +40,34 @@
   limits                                limits of workspaces
   limit-set WORKSPACE [--weight N] [--running N] [--queued N]
   limit-remove WORKSPACE
-  labels-set UPSTREAM key=value ...     labels over those it announces
+  labels-set UPSTREAM key=value ...     labels that override the announced ones
   order UPSTREAM load_model|unload_model|set_role VALUE
-  orders                                the outbox of orders
+  orders                                orders and their states
   audit                                 the audit trail
-  watch [--revision N] [--count N]      each new revision
+  watch [--revision N] [--count N]      print each new revision
 
   replicas --peers HOST:PORT[,...] [--secret-file FILE]
                                         members of the forwarding group, and
-                                        promised losses that they don't bear
+                                        unmet fault-tolerance targets
   suspects --peers HOST:PORT[,...] [--secret-file FILE]
-                                        requests under which upstreams ended
+                                        requests suspected of crashing upstreams
   suspect-clear DIGEST --peers HOST:PORT[,...] [--secret-file FILE]
-                                        have one sent on again
+                                        allow forwarding one of them again
 
   explain REQUEST_ID --logs FILE [FILE ...]
-                                        what logs tell of one request
+                                        timeline of one request from logs
   losses --logs FILE [FILE ...]         which requests were late, refused or
-                                        failed, when and for what reason
+                                        failed, when and why
 
   --json           print JSON
-  --revision N     revision the change was made against
-  --change-id ID   identifier of the change, to send it again
+  --revision N     revision that the change is based on
+  --change-id ID   ID of the change, to retry it
 
-The environment may hold HERONCLEAT_CONTROL and HERONCLEAT_TOKEN_FILE.
-Exit codes: 0 done, 1 failed or a promise not kept, 2 bad usage, 3 conflict, 4 refused.
+HERONCLEAT_CONTROL and HERONCLEAT_TOKEN_FILE in the environment are the
+defaults of --control and --token-file.
+Exit codes: 0 done, 1 failed or fault tolerance not met, 2 bad usage, 3 conflict, 4 refused.
 `;
 
-/** A command of the tool. */
 type Command = (context: CommandContext) => Promise<CommandResult>;
 
 const COMMANDS: Readonly<Record<string, Command>> = {
@@ -90,10 +90,10 @@
   "watch": watchCommand,
 };
 
-/** These need no control replica, unlike the commands above. */
+/** These commands read log files only. */
 const EXPLAIN = "explain";
 const LOSSES = "losses";
-/** These ask the control replicas as other processes of the system do. */
+/** These commands call the control replicas over the peer protocol. */
 const PEER_COMMANDS: Readonly<
   Record<string, (context: PeerContext) => Promise<CommandResult>>
 > = {
@@ -120,23 +120,23 @@
     process.stdout.write(`heroncleat ${VERSION}\n`);
     return ExitCode.done;
   }
-  const [name = "", ...words] = positionals;
+  const [name = "", ...args] = positionals;
   if (name === EXPLAIN) {
     return finish(explainCommand({
-      words,
+      args,
       logs: values.logs,
       json: values.json ?? false,
       print,
     }));
   }
   if (name === LOSSES) {
-    const files = values.logs === undefined ? [] : [values.logs, ...words];
+    const files = values.logs === undefined ? [] : [values.logs, ...args];
     return finish(lossesCommand(files, print));
   }
   if (Object.hasOwn(PEER_COMMANDS, name)) {
     return finish(
       await PEER_COMMANDS[name]!({
-        words,
+        args,
         peers: values.peers,
         secretFile: values["secret-file"],
         json: values.json ?? false,
@@ -149,17 +149,18 @@
     return failUsage(`There is no command "${name}".`);
   }
   const control = values.control ?? process.env["HERONCLEAT_CONTROL"];
-  const file = values["token-file"] ?? process.env["HERONCLEAT_TOKEN_FILE"];
-  if (control === undefined || file === undefined) {
+  const tokenFile = values["token-file"] ??
+    process.env["HERONCLEAT_TOKEN_FILE"];
+  if (control === undefined || tokenFile === undefined) {
     return failUsage("--control or --token-file is missing.");
   }
-  const client = OperatorClient.create(control, file);
+  const client = OperatorClient.create(control, tokenFile);
   if (client.isErr) {
     return fail(client.error.message);
   }
   const result = await command({
     client: client.value,
-    words,
+    args,
     json: values.json ?? false,
     options: values as Record<string, string | undefined>,
     print,
--- a/apps/heroncleat/operator_client.ts
+++ b/apps/heroncleat/operator_client.ts
@@ -4,12 +4,12 @@
 import { Result } from "true-myth/result";
 import { request } from "undici";
 
-/** An answer of the operator API. */
-type OperatorReply = { readonly status: number; readonly body: unknown };
+/** Response of the operator API. */
+type OperatorResponse = { readonly status: number; readonly body: unknown };
 
-const REQUEST_TIMEOUT = 30_000;
+const REQUEST_TIMEOUT_MS = 30_000;
 
-/** Talks to any control replica, the next one when one can't be reached. */
+/** Sends requests to the control replicas, trying them in order. */
 export class OperatorClient {
   readonly #addresses: readonly string[];
   readonly #token: string;
@@ -30,40 +30,40 @@
       return Result.err(createFault(
         "settings",
         `${tokenFile} can't be read (${(error as Error).message}). Remedy: ` +
-          "name a file that holds your token with --token-file.",
+          "give a file with your token in --token-file.",
       ));
     }
   }
 
-  /** Repeating a change is safe: its identifier makes it idempotent. */
+  /** Repeating a change is safe because its ID makes it idempotent. */
   async send(
     method: "GET" | "POST",
     path: string,
     body?: unknown,
-  ): Promise<Result<OperatorReply, Fault>> {
+  ): Promise<Result<OperatorResponse, Fault>> {
     let problem = "no address was given";
     for (const address of this.#addresses) {
       try {
-        const reply = await this.#sendTo(address, { method, path, body });
-        if (reply.status !== 503) {
-          return Result.ok(reply);
+        const response = await this.#sendTo(address, { method, path, body });
+        if (response.status !== 503) {
+          return Result.ok(response);
         }
-        problem = (reply.body as FaultBody).error.message;
+        problem = (response.body as FaultBody).error.message;
       } catch (error) {
         problem = `${address}: ${(error as Error).message}`;
       }
     }
     return Result.err(createFault(
       "no_quorum",
-      `No control replica could serve this (${problem}). Remedy: check ` +
-        "--control, and that most replicas run.",
+      `No control replica could serve the request (${problem}). Remedy: ` +
+        "check --control and that a majority of the replicas is running.",
     ));
   }
 
   async #sendTo(
     address: string,
     options: { method: "GET" | "POST"; path: string; body: unknown },
-  ): Promise<OperatorReply> {
+  ): Promise<OperatorResponse> {
     const { method, path, body } = options;
     const response = await request(`http://${address}${path}`, {
       method,
@@ -72,7 +72,7 @@
         "content-type": "application/json",
       },
       body: body === undefined ? null : JSON.stringify(body),
-      signal: AbortSignal.timeout(REQUEST_TIMEOUT),
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
     });
     const value = await response.body.json();
     return { status: response.statusCode, body: value };
--- a/apps/heroncleat/parse_pairs.ts
+++ b/apps/heroncleat/parse_pairs.ts
@@ -2,19 +2,19 @@
 import { Result } from "true-myth/result";
 import { usageFault } from "./usage_fault.ts";
 
-/** Reads words of the form `key=value`. */
+/** Parses arguments of the form `key=value`. */
 export function parsePairs(
-  words: readonly string[],
+  args: readonly string[],
 ): Result<Record<string, string>, Fault> {
   const pairs: Record<string, string> = {};
-  for (const word of words) {
-    const equals = word.indexOf("=");
-    if (equals < 1) {
+  for (const arg of args) {
+    const separator = arg.indexOf("=");
+    if (separator < 1) {
       return Result.err(
-        usageFault(`${word} is not key=value`, "write it as key=value"),
+        usageFault(`${arg} is not key=value`, "write it as key=value"),
       );
     }
-    pairs[word.slice(0, equals)] = word.slice(equals + 1);
+    pairs[arg.slice(0, separator)] = arg.slice(separator + 1);
   }
   return Result.ok(pairs);
 }
--- a/apps/heroncleat/peer_context.ts
+++ b/apps/heroncleat/peer_context.ts
@@ -1,9 +1,9 @@
-/** What commands that ask control replicas as a peer work with. */
+/** Inputs of a command that calls control replicas over the peer protocol. */
 export type PeerContext = {
-  readonly words: readonly string[];
-  /** host:port of control replicas for other processes, by commas. */
+  readonly args: readonly string[];
+  /** Peer addresses (`host:port`) of control replicas, separated by commas. */
   readonly peers: string | undefined;
-  /** File with the secret of the processes; none where they share none. */
+  /** File with the shared secret of the processes, if they use one. */
   readonly secretFile: string | undefined;
   readonly json: boolean;
   readonly print: (text: string) => void;
--- a/apps/heroncleat/show.ts
+++ b/apps/heroncleat/print_resource.ts
@@ -5,17 +5,17 @@
 import type { CommandResult } from "./command_result.ts";
 import { ExitCode } from "./exit_code.ts";
 
-/** Reads one thing and prints it as a table, or as JSON. */
-export async function show<Value>(
+/** Fetches a resource of the operator API and prints it as text or JSON. */
+export async function printResource<Value>(
   context: CommandContext,
   path: string,
   format: (value: Value) => string,
 ): Promise<CommandResult> {
-  const reply = await context.client.send("GET", path);
-  if (reply.isErr) {
-    return Result.err(reply.error);
+  const response = await context.client.send("GET", path);
+  if (response.isErr) {
+    return Result.err(response.error);
   }
-  const { status, body } = reply.value;
+  const { status, body } = response.value;
   if (status !== 200) {
     const { error } = body as FaultBody;
     return Result.err(createFault("forbidden", error.message));
--- a/apps/heroncleat/read_log_files.ts
+++ b/apps/heroncleat/read_log_files.ts
@@ -4,7 +4,7 @@
 import type { LogLine } from "./explain/log_line.ts";
 import { readLogLine } from "./explain/read_log_line.ts";
 
-/** Reads all lines of ours in some log files, or says which can't be read. */
+/** Reads the lines of heroncleat processes from log files. */
 export function readLogFiles(
   files: readonly string[],
 ): Result<LogLine[], Fault> {
@@ -17,11 +17,11 @@
       const { message } = error as Error;
       return Result.err(createFault(
         "bad_request",
-        `Can't read ${file} (${message}). Remedy: name files that hold logs.`,
+        `Can't read ${file} (${message}). Remedy: give readable log files.`,
       ));
     }
-    for (const row of text.split("\n")) {
-      const line = readLogLine(row);
+    for (const rawLine of text.split("\n")) {
+      const line = readLogLine(rawLine);
       if (line !== undefined) {
         lines.push(line);
       }
--- a/apps/heroncleat/replicas_command.ts
+++ b/apps/heroncleat/replicas_command.ts
@@ -7,8 +7,8 @@
 import type { PeerContext } from "./peer_context.ts";
 
 /**
- * Shows the members of the group behind request forwarding, and whether they
- * bear the losses that the settings promise.
+ * Prints the members of the group of control replicas behind request
+ * forwarding, and which parts of its fault-tolerance target aren't met.
  */
 export async function replicasCommand(
   context: PeerContext,
@@ -19,12 +19,14 @@
   }
   const state = reply.value as GroupState;
   context.print(
-    context.json ? JSON.stringify(state, null, 2) : format(state),
+    context.json ? JSON.stringify(state, null, 2) : formatGroupState(state),
   );
   return Result.ok(state.unkept.length === 0 ? ExitCode.done : ExitCode.failed);
 }
 
-function format({ leader, members, promised, unkept }: GroupState): string {
+function formatGroupState(
+  { leader, members, promised, unkept }: GroupState,
+): string {
   const table = formatTable(
     ["NAME", "ZONE", "ADDRESS", "ROLE"],
     members.map(({ name, zone, address, voter }) => [
--- a/apps/heroncleat/selector_commands.ts
+++ b/apps/heroncleat/selector_commands.ts
@@ -10,7 +10,7 @@
 import type { CommandResult } from "./command_result.ts";
 import { formatTable } from "./format_table.ts";
 import { parsePairs } from "./parse_pairs.ts";
-import { show } from "./show.ts";
+import { printResource } from "./print_resource.ts";
 import { submitChange } from "./submit_change.ts";
 import { usageFault } from "./usage_fault.ts";
 
@@ -18,10 +18,10 @@
 const DEFAULT_ORDER = 100;
 const USAGE = "selector-set NAME --groups A,B [--order N] [model=M ...]";
 
-/** Commands about selectors. */
+/** Commands that list and change selectors. */
 export const selectorCommands = {
   list(context: CommandContext): Promise<CommandResult> {
-    return show<ConfigurationView>(
+    return printResource<ConfigurationView>(
       context,
       "/v1/operator/configuration",
       (view) =>
@@ -45,13 +45,16 @@
   },
 
   remove(context: CommandContext): Promise<CommandResult> {
-    const [name] = context.words;
+    const [name] = context.args;
     return submitChange(
       context,
       () =>
         name === undefined
           ? Result.err(
-            usageFault("A name is missing", "write selector-remove NAME"),
+            usageFault(
+              "The selector name is missing",
+              "use selector-remove NAME",
+            ),
           )
           : Result.ok([{ kind: "selector_removed", name }]),
     );
@@ -59,23 +62,26 @@
 };
 
 function buildSelector(context: CommandContext): Result<Edit[], Fault> {
-  const [name, ...words] = context.words;
+  const [name, ...pairs] = context.args;
   const { groups, order, idempotent } = context.options;
   if (name === undefined || groups === undefined) {
     return Result.err(
-      usageFault("A name or --groups is missing", `write ${USAGE}`),
+      usageFault("The selector name or --groups is missing", `use ${USAGE}`),
     );
   }
-  const match = parsePairs(words);
+  const match = parsePairs(pairs);
   if (match.isErr) {
     return Result.err(match.error);
   }
-  const unknown = Object.keys(match.value).find((key) =>
+  const unknownKey = Object.keys(match.value).find((key) =>
     !MATCH_KEYS.includes(key)
   );
-  if (unknown !== undefined) {
+  if (unknownKey !== undefined) {
     return Result.err(
-      usageFault(`${unknown} can't be matched`, `use ${MATCH_KEYS.join(", ")}`),
+      usageFault(
+        `A selector can't match on ${unknownKey}`,
+        `use ${MATCH_KEYS.join(", ")}`,
+      ),
     );
   }
   const selector: Selector = {
--- a/apps/heroncleat/status_command.ts
+++ b/apps/heroncleat/status_command.ts
@@ -2,9 +2,9 @@
 import type { CommandContext } from "./command_context.ts";
 import type { CommandResult } from "./command_result.ts";
 import { formatTable } from "./format_table.ts";
-import { show } from "./show.ts";
+import { printResource } from "./print_resource.ts";
 
-/** A control replica as the status shows it. */
+/** Status of a control replica. */
 type ReplicaStatus = {
   readonly kind: string;
   readonly address?: string;
@@ -22,11 +22,11 @@
   readonly upstreams: readonly UpstreamRecord[];
 };
 
-/** Shows replicas, entries with the revision in force there, upstreams. */
+/** Prints control replicas, entries with their revision, and upstreams. */
 export function statusCommand(
   context: CommandContext,
 ): Promise<CommandResult> {
-  return show<Status>(context, "/v1/operator/status", formatStatus);
+  return printResource<Status>(context, "/v1/operator/status", formatStatus);
 }
 
 function formatStatus(status: Status): string {
--- a/apps/heroncleat/submit_change.ts
+++ b/apps/heroncleat/submit_change.ts
@@ -10,27 +10,30 @@
 import type { CommandResult } from "./command_result.ts";
 import { ExitCode } from "./exit_code.ts";
 
-/** Builds edits from the configuration as it is. */
+/** Builds edits from the current configuration. */
 type EditBuilder = (view: ConfigurationView) => Result<Edit[], Fault>;
 
 /**
- * Submits a change against the revision that was read, under an identifier of
- * its own. --revision and --change-id override both, to repeat a change whose
- * answer was lost.
+ * Submits a change that is based on the current revision, under a new ID.
+ * --revision and --change-id override both, to retry a change whose response
+ * was lost.
  */
 export async function submitChange(
   context: CommandContext,
   build: EditBuilder,
 ): Promise<CommandResult> {
-  const read = await context.client.send("GET", "/v1/operator/configuration");
-  if (read.isErr) {
-    return Result.err(read.error);
+  const configuration = await context.client.send(
+    "GET",
+    "/v1/operator/configuration",
+  );
+  if (configuration.isErr) {
+    return Result.err(configuration.error);
   }
-  if (read.value.status !== 200) {
-    const { error } = read.value.body as FaultBody;
+  if (configuration.value.status !== 200) {
+    const { error } = configuration.value.body as FaultBody;
     return Result.err(createFault("forbidden", error.message));
   }
-  const view = read.value.body as ConfigurationView;
+  const view = configuration.value.body as ConfigurationView;
   const edits = build(view);
   if (edits.isErr) {
     return Result.err(edits.error);
@@ -41,22 +44,22 @@
     expectedRevision: Number(revision ?? view.revision),
     edits: edits.value,
   };
-  const reply = await context.client.send(
+  const response = await context.client.send(
     "POST",
     "/v1/operator/changes",
     change,
   );
-  if (reply.isErr) {
+  if (response.isErr) {
     return Result.err(createFault(
-      reply.error.kind,
-      `${reply.error.message} To send the same change again, add ` +
+      response.error.kind,
+      `${response.error.message} To retry the same change, add ` +
         `--change-id ${change.id} --revision ${change.expectedRevision}.`,
     ));
   }
-  return report(context, reply.value.body as ChangeResult | FaultBody);
+  return printResult(context, response.value.body as ChangeResult | FaultBody);
 }
 
-function report(
+function printResult(
   context: CommandContext,
   body: ChangeResult | FaultBody,
 ): CommandResult {
--- a/apps/heroncleat/suspect_commands.ts
+++ b/apps/heroncleat/suspect_commands.ts
@@ -7,11 +7,11 @@
 import { formatTable } from "./format_table.ts";
 import type { PeerContext } from "./peer_context.ts";
 
-const SECOND: Milliseconds = 1000;
+const MS_PER_SECOND: Milliseconds = 1000;
 
-/** Commands about requests under which upstreams ended. */
+/** Commands about requests that are suspected of crashing upstreams. */
 export const suspectCommands = {
-  /** Shows what the first replica that answers knows. */
+  /** Prints the suspected requests that the first available replica lists. */
   async list(context: PeerContext): Promise<CommandResult> {
     const reply = await callAnyPeer(context, "hub.suspects", {});
     if (reply.isErr) {
@@ -19,18 +19,20 @@
     }
     const suspects = reply.value as readonly SuspectView[];
     context.print(
-      context.json ? JSON.stringify(suspects, null, 2) : format(suspects),
+      context.json
+        ? JSON.stringify(suspects, null, 2)
+        : formatSuspects(suspects),
     );
     return Result.ok(ExitCode.done);
   },
 
-  /** Has a request sent on again, by all entries. */
+  /** Makes all entries forward a suspected request again. */
   async clear(context: PeerContext): Promise<CommandResult> {
-    const [request] = context.words;
+    const [request] = context.args;
     if (request === undefined) {
       return Result.err(createFault(
         "bad_request",
-        "suspect-clear needs a digest. Remedy: take one that suspects shows.",
+        "suspect-clear needs a digest. Remedy: use one that suspects lists.",
       ));
     }
     const reply = await callAnyPeer(context, "hub.clear_suspect", { request });
@@ -40,8 +42,8 @@
     if (reply.value !== true) {
       return Result.err(createFault(
         "not_found",
-        `No request ${request} is suspected. Remedy: take a digest that ` +
-          "suspects shows.",
+        `No suspected request has the digest ${request}. Remedy: use one ` +
+          "that suspects lists.",
       ));
     }
     context.print(`cleared ${request}`);
@@ -49,7 +51,7 @@
   },
 };
 
-function format(suspects: readonly SuspectView[]): string {
+function formatSuspects(suspects: readonly SuspectView[]): string {
   return formatTable(
     ["DIGEST", "STANDING", "WORKSPACE", "SERVICE", "BYTES", "ENDED", "AGO"],
     suspects.map((suspect) => [
@@ -59,7 +61,7 @@
       suspect.service,
       suspect.size,
       suspect.upstreams.length,
-      `${Math.round(suspect.age / SECOND)} s`,
+      `${Math.round(suspect.age / MS_PER_SECOND)} s`,
     ]),
   );
 }
--- a/apps/heroncleat/tool_test.ts
+++ b/apps/heroncleat/tool_test.ts
@@ -12,8 +12,8 @@
 beforeAll(() => live.start());
 afterAll(() => live.stop());
 
-/** Runs the tool and returns its exit code and what it printed. */
-function run(...words: string[]): Promise<{ code: number; text: string }> {
+/** Runs the tool; returns its exit code and its output. */
+function run(...args: string[]): Promise<{ code: number; text: string }> {
   const { controls, tokenFile } = live.deployment;
   const control = controls.map((replica) => replica.operatorAddress).join(",");
   const options = ["--control", control, "--token-file", tokenFile];
@@ -21,15 +21,15 @@
   return new Promise((resolve) => {
     execFile(
       process.execPath,
-      [script, ...options, ...words],
+      [script, ...options, ...args],
       (error, stdout, stderr) =>
         resolve({ code: Number(error?.code ?? 0), text: stdout + stderr }),
     );
   });
 }
 
-describe("the operators' tool", () => {
-  test("shows tables for people and JSON for programs", async () => {
+describe("heroncleat", () => {
+  test("prints tables by default and JSON with --json", async () => {
     const status = await run("status");
     expect(status.code).toBe(0);
     expect(status.text).toContain("leader");
@@ -38,7 +38,7 @@
     expect(JSON.parse(json.text).groups["old"].share).toBe(50);
   });
 
-  test("changes groups, selectors, limits and labels, with an audit", async () => {
+  test("changes groups, selectors, limits and labels, and records them", async () => {
     const commands = [
       ["drain", "old"],
       ["fill", "new", "--share", "100"],
@@ -47,8 +47,8 @@
       ["limit-set", "bistro", "--weight", "3"],
       ["labels-set", "engine-1", "size=large"],
     ];
-    for (const words of commands) {
-      const result = await run(...words);
+    for (const args of commands) {
+      const result = await run(...args);
       expect(result).toMatchObject({ code: 0 });
       expect(result.text).toContain("accepted");
     }
@@ -56,7 +56,7 @@
     expect(audit.text.match(/demo +accepted/g)!.length).toBeGreaterThan(6);
   });
 
-  test("tells conflicts, refusals and bad usage apart by exit code", async () => {
+  test("has separate exit codes for conflicts, refusals and bad usage", async () => {
     expect((await run("drain", "new", "--revision", "0")).code).toBe(3);
     expect((await run("group-remove", "old")).code).toBe(4);
     const unknown = await run("dance");
@@ -65,10 +65,10 @@
     expect((await run("fill", "new", "--share", "many")).code).toBe(2);
   });
 
-  test("gives a change that is sent again its first result", async () => {
-    const again = ["drain", "spare", "--change-id", "the-same-change"];
-    const first = await run(...again);
-    const second = await run(...again);
+  test("returns the first result for a repeated change ID", async () => {
+    const repeated = ["drain", "spare", "--change-id", "the-same-change"];
+    const first = await run(...repeated);
+    const second = await run(...repeated);
     expect(second.text).toBe(first.text);
   });
 });
--- a/apps/heroncleat/upstream_commands.ts
+++ b/apps/heroncleat/upstream_commands.ts
@@ -4,7 +4,7 @@
 import type { CommandResult } from "./command_result.ts";
 import { formatTable } from "./format_table.ts";
 import { parsePairs } from "./parse_pairs.ts";
-import { show } from "./show.ts";
+import { printResource } from "./print_resource.ts";
 import { submitChange } from "./submit_change.ts";
 import { usageFault } from "./usage_fault.ts";
 
@@ -14,16 +14,16 @@
   "set_role",
 ];
 
-/** Commands about single upstreams: labels and orders. */
+/** Commands for the labels and the orders of an upstream. */
 export const upstreamCommands = {
   /** `labels-set UPSTREAM key=value ...` */
   setLabels(context: CommandContext): Promise<CommandResult> {
-    const [upstream, ...pairs] = context.words;
+    const [upstream, ...pairs] = context.args;
     return submitChange(context, () => {
       if (upstream === undefined) {
         return Result.err(usageFault(
-          "An upstream is missing",
-          "write labels-set UPSTREAM key=value ...",
+          "The upstream is missing",
+          "use labels-set UPSTREAM key=value ...",
         ));
       }
       const labels = parsePairs(pairs);
@@ -35,15 +35,15 @@
 
   /** `order UPSTREAM ACTION VALUE` */
   order(context: CommandContext): Promise<CommandResult> {
-    const [upstream, named, value] = context.words;
+    const [upstream, actionName, value] = context.args;
     return submitChange(context, () => {
-      const action = ACTIONS.find((known) => known === named);
+      const action = ACTIONS.find((supported) => supported === actionName);
       if (
         upstream === undefined || action === undefined || value === undefined
       ) {
         return Result.err(usageFault(
-          "The order is not complete",
-          `write order UPSTREAM ${ACTIONS.join("|")} VALUE`,
+          "The order is incomplete",
+          `use order UPSTREAM ${ACTIONS.join("|")} VALUE`,
         ));
       }
       const order = { action, value };
@@ -52,7 +52,7 @@
   },
 
   orders(context: CommandContext): Promise<CommandResult> {
-    return show<{ orders: Order[] }>(
+    return printResource<{ orders: Order[] }>(
       context,
       "/v1/operator/orders",
       ({ orders }) =>
--- a/apps/heroncleat/watch_command.ts
+++ b/apps/heroncleat/watch_command.ts
@@ -4,14 +4,14 @@
 import type { CommandResult } from "./command_result.ts";
 import { ExitCode } from "./exit_code.ts";
 
-/** Prints each new revision as it comes into force, until it is stopped. */
+/** Prints each new revision as it takes effect, up to `--count` of them. */
 export async function watchCommand(
   context: CommandContext,
 ): Promise<CommandResult> {
-  const most = Number(context.options["count"] ?? Infinity);
+  const maxCount = Number(context.options["count"] ?? Infinity);
   let revision = Number(context.options["revision"] ?? 0);
-  let seen = 0;
-  while (seen < most) {
+  let printedCount = 0;
+  while (printedCount < maxCount) {
     const path = `/v1/operator/watch?revision=${revision}`;
     const reply = await context.client.send("GET", path);
     if (reply.isErr) {
@@ -20,7 +20,7 @@
     const view = reply.value.body as ConfigurationView;
     if (view.revision > revision) {
       revision = view.revision;
-      seen += 1;
+      printedCount += 1;
       context.print(
         context.json ? JSON.stringify(view) : `revision ${revision}`,
       );
