--- a/packages/bench/golden_sessions_test.ts
+++ b/packages/bench/golden_sessions_test.ts
@@ -15,11 +15,11 @@
 import { ModelEngine } from "@heroncleat/stand_ins";
 import { VirtualTime } from "./virtual_time.ts";
 
-const FOLDER = "packages/bench/golden";
+const GOLDEN_FOLDER = "packages/bench/golden";
 
-/** Compares a session with its golden file; UPDATE_GOLDEN=1 writes it. */
+/** Compares a session with its golden file, which UPDATE_GOLDEN=1 rewrites. */
 function expectGolden(name: string, lines: readonly string[]): void {
-  const path = `${FOLDER}/${name}.txt`;
+  const path = `${GOLDEN_FOLDER}/${name}.txt`;
   const text = `${lines.join("\n")}\n`;
   if (process.env["UPDATE_GOLDEN"] === "1" || !existsSync(path)) {
     if (process.env["CI"] === "true") {
@@ -33,7 +33,7 @@
 const hash = (text: string) =>
   createHash("sha1").update(text).digest().readUInt32BE(0) / 2 ** 32;
 
-function announcement(
+function createAnnouncement(
   name: string,
   changes: Partial<Announcement> = {},
 ): Announcement {
@@ -58,7 +58,7 @@
   };
 }
 
-test("a guest asks for a table and gets the confirmation", () => {
+test("later claims of a key get its outcome until it expires", () => {
   const ledger = new Ledger();
   const lines: string[] = [];
   const claim = (owner: string, attempt: string, digest = "four at seven") => {
@@ -99,7 +99,7 @@
   expectGolden("guest_books_a_table", lines);
 });
 
-test("a long letter goes on over a zone's reclaim and its owner's death", () => {
+test("a stream continues after an engine reclaim and an owner crash", () => {
   const time = new VirtualTime();
   const lines: string[] = [];
   const log = (line: string) =>
@@ -130,28 +130,28 @@
       reserve: 50,
     }),
   };
-  let alive = "entry-1";
-  const run = (name: string, request: OwnedRequest) => {
-    const drive = (event: Parameters<OwnedRequest["handle"]>[0]) => {
-      if (alive === name) {
-        request.handle(event, time.now).forEach(carryOut);
+  let liveOwner = "entry-1";
+  const startOwner = (name: string, request: OwnedRequest) => {
+    const handleEvent = (event: Parameters<OwnedRequest["handle"]>[0]) => {
+      if (liveOwner === name) {
+        request.handle(event, time.now).forEach(applyEffect);
       }
     };
-    const carryOut = (effect: RequestEffect) => {
+    const applyEffect = (effect: RequestEffect) => {
       switch (effect.kind) {
         case "copy":
           time.schedule(() => {
             const reply = standby.applyCopy(effect.message, time.now);
             const { number } = effect;
             time.schedule(
-              () => drive({ kind: "copy_answered", number, reply }),
+              () => handleEvent({ kind: "copy_answered", number, reply }),
               1,
             );
           }, 1);
           return;
         case "route": {
           const upstream = time.now >= 150 ? "engine-b" : "engine-a";
-          drive({ kind: "routed", attempt: effect.attempt, upstream });
+          handleEvent({ kind: "routed", attempt: effect.attempt, upstream });
           return;
         }
         case "dispatch": {
@@ -169,10 +169,10 @@
           }
           return;
         case "choose_standby":
-          drive({ kind: "standby_chosen", standby: "" });
+          handleEvent({ kind: "standby_chosen", standby: "" });
           return;
         case "move_standby":
-          drive({
+          handleEvent({
             kind: "standby_moved",
             epoch: effect.expectedEpoch + 1,
             standby: "",
@@ -191,7 +191,7 @@
       },
     ) => {
       const emitted = pieces.map((piece) => piece.text).join("");
-      let place = 0;
+      let index = 0;
       engines.get(upstream)!.submit({
         id: `${name}#${attempt}`,
         text: `Dear${emitted}`,
@@ -202,14 +202,19 @@
         kvTransfer: kvSource !== "",
         onToken: (text) => {
           const piece = { text, tokens: 1 };
-          drive({ kind: "piece", attempt, position: place, piece });
-          place += 1;
+          handleEvent({ kind: "piece", attempt, position: index, piece });
+          index += 1;
         },
         onEnd: ({ reason }) =>
-          drive({ kind: "attempt_finished", attempt, pieces: place, reason }),
+          handleEvent({
+            kind: "attempt_finished",
+            attempt,
+            pieces: index,
+            reason,
+          }),
       });
     };
-    return drive;
+    return handleEvent;
   };
   const first = new OwnedRequest({
     id: "entry-1~entry-2~letter",
@@ -234,16 +239,16 @@
       now: 0,
     },
   });
-  const drive = run("entry-1", first);
-  drive({ kind: "start" });
+  const handleEvent = startOwner("entry-1", first);
+  handleEvent({ kind: "start" });
   time.schedule(() => {
     log("engine-a is reclaimed in 200 ms");
     const upstream = "engine-a";
-    drive({ kind: "upstream_leaving", upstream, reclaimIn: 200 });
+    handleEvent({ kind: "upstream_leaving", upstream, reclaimIn: 200 });
   }, 150);
   time.schedule(() => {
     log("entry-1 dies; entry-2 takes over");
-    alive = "entry-2";
+    liveOwner = "entry-2";
     const copy = standby.get("entry-1~entry-2~letter")!;
     const successor = new OwnedRequest(
       { ...copy.record, epoch: 2, owner: "entry-2", standby: "" },
@@ -259,17 +264,23 @@
       },
     );
     log(`entry-2 holds ${copy.pieces.length} pieces`);
-    run("entry-2", successor)({ kind: "start" });
+    startOwner("entry-2", successor)({ kind: "start" });
   }, 350);
   time.run(5000);
   expectGolden("letter_over_a_reclaim", lines);
 });
 
-test("an operator moves the traffic in steps and drains the old place", () => {
+test("traffic follows the group shares that an operator sets", () => {
   const configuration = new Configuration();
   const router = new Router(ROUTING_DEFAULTS, { entry: "entry-1", hash });
-  router.updateUpstream(announcement("old-1", { labels: { at: "old" } }), 0);
-  router.updateUpstream(announcement("new-1", { labels: { at: "new" } }), 0);
+  router.updateUpstream(
+    createAnnouncement("old-1", { labels: { at: "old" } }),
+    0,
+  );
+  router.updateUpstream(
+    createAnnouncement("new-1", { labels: { at: "new" } }),
+    0,
+  );
   const lines: string[] = [];
   const group = (
     name: string,
@@ -333,7 +344,7 @@
   expectGolden("operator_moves_traffic", lines);
 });
 
-test("a leader is lost during a change, which is sent again", () => {
+test("a change proposed again after a leader loss keeps its revision", () => {
   const lines: string[] = [];
   const names = ["r1", "r2", "r3"];
   const founders = names.map((id) => ({
@@ -344,9 +355,9 @@
     voter: true,
   }));
   let now = 0;
-  const down = new Set<string>();
+  const stopped = new Set<string>();
   const queue: { to: string; message: never }[] = [];
-  const states = new Map(names.map((id, place) => {
+  const replicas = new Map(names.map((id, index) => {
     const replica = new Replica({
       id,
       founders,
@@ -357,19 +368,19 @@
       maxAppendEntries: 64,
       trailingEntries: 10,
     }, {
-      random: createSeededRandom(place + 1),
+      random: createSeededRandom(index + 1),
       stored: { snapshot: undefined, records: [] },
       at: { now, steady: now },
     });
     return [id, { replica, configuration: new Configuration() }];
   }));
-  const carryOut = (id: string, effect: ReplicaEffect) => {
-    const { replica, configuration } = states.get(id)!;
+  const applyEffect = (id: string, effect: ReplicaEffect) => {
+    const { replica, configuration } = replicas.get(id)!;
     if (effect.kind === "send") {
       queue.push({ to: effect.to, message: effect.message as never });
     } else if (effect.kind === "persist") {
       const { number } = effect;
-      drive(id, { kind: "persisted", number });
+      handleEvent(id, { kind: "persisted", number });
     } else if (effect.kind === "role" && effect.role === "leader") {
       lines.push(`${now} ms  ${id} leads term ${effect.term}`);
     } else if (effect.kind === "apply" && effect.entry.kind === "command") {
@@ -383,28 +394,28 @@
     }
     expect(replica).toBeDefined();
   };
-  const drive = (id: string, event: Parameters<Replica["handle"]>[0]) => {
-    if (!down.has(id)) {
-      const { replica } = states.get(id)!;
+  const handleEvent = (id: string, event: Parameters<Replica["handle"]>[0]) => {
+    if (!stopped.has(id)) {
+      const { replica } = replicas.get(id)!;
       for (const effect of replica.handle(event, { now, steady: now })) {
-        carryOut(id, effect);
+        applyEffect(id, effect);
       }
     }
   };
-  const pass = (milliseconds: number, deliver = true) => {
-    for (let left = milliseconds; left > 0; left -= 10) {
+  const advance = (milliseconds: number, deliver = true) => {
+    for (let remaining = milliseconds; remaining > 0; remaining -= 10) {
       now += 10;
-      names.forEach((id) => drive(id, { kind: "tick" }));
+      names.forEach((id) => handleEvent(id, { kind: "tick" }));
       for (const { to, message } of queue.splice(0)) {
         if (deliver) {
-          drive(to, { kind: "message", message });
+          handleEvent(to, { kind: "message", message });
         }
       }
     }
   };
-  const leader = () =>
+  const findLeader = () =>
     names.find((id) =>
-      !down.has(id) && states.get(id)!.replica.role === "leader"
+      !stopped.has(id) && replicas.get(id)!.replica.role === "leader"
     )!;
   const command = {
     kind: "change",
@@ -419,14 +430,14 @@
       }],
     },
   };
-  pass(1000);
-  const first = leader();
-  drive(first, { kind: "propose", token: "first try", command });
-  pass(10);
+  advance(1000);
+  const first = findLeader();
+  handleEvent(first, { kind: "propose", token: "first try", command });
+  advance(10);
   lines.push(`${now} ms  ${first} is lost before it answers`);
-  down.add(first);
-  pass(1500);
-  drive(leader(), { kind: "propose", token: "second try", command });
-  pass(100);
+  stopped.add(first);
+  advance(1500);
+  handleEvent(findLeader(), { kind: "propose", token: "second try", command });
+  advance(100);
   expectGolden("leader_lost_during_a_change", lines);
 });
--- a/packages/bench/live/bench_deployment.ts
+++ b/packages/bench/live/bench_deployment.ts
@@ -1,7 +1,7 @@
 import type { Deployment, ProcessGroup } from "@heroncleat/local_deployment";
 import type { PeerPool } from "@heroncleat/transport";
 
-/** A deployment under measurement. */
+/** A running local deployment, with a peer pool for calls to its processes. */
 export type BenchDeployment = {
   readonly deployment: Deployment;
   readonly processes: ProcessGroup;
--- a/packages/bench/live/report_control.ts
+++ b/packages/bench/live/report_control_group.ts
@@ -1,44 +1,46 @@
 import { createToken } from "@heroncleat/base";
 import type { BenchDeployment } from "./bench_deployment.ts";
 import { formatTable } from "../report/format_table.ts";
-import { readProcessUsage } from "./process_usage.ts";
+import { readProcessUsage } from "./read_process_usage.ts";
 
-const WRITERS = [1, 16, 64];
-const WRITE_TIME = 2500;
-const CHANGES = 60;
-const LEADER_LOSSES = 4;
-const MISSED_CHANGES = 500;
-const CALL_TIMEOUT = 1500;
-const IDLE_TIME = 5000;
+const WRITER_COUNTS = [1, 16, 64];
+const WRITE_TIME_MS = 2500;
+const CHANGE_COUNT = 60;
+const LEADER_LOSS_COUNT = 4;
+const MISSED_CHANGE_COUNT = 500;
+const CALL_TIMEOUT_MS = 1500;
+const IDLE_TIME_MS = 5000;
 
-/** Measures the control group: commits, changes, losses. */
-export async function reportControl(
+/**
+ * Measures the control group: idle usage, commits, configuration changes and
+ * leader losses.
+ */
+export async function reportControlGroup(
   bench: BenchDeployment,
   print: (text: string) => void,
 ): Promise<void> {
   const control = new ControlBench(bench);
-  await control.reportIdle(print);
+  await control.reportIdleUsage(print);
   await control.reportCommits(print);
-  await control.reportChanges(print);
-  await control.reportLosses(print);
+  await control.reportChangeDelays(print);
+  await control.reportLeaderLosses(print);
 }
 
-/** Answer of a replica to a proposal. */
-type Proposal = { readonly kind: string; readonly leader?: string };
+/** Response of a control replica to a proposal. */
+type ProposalReply = { readonly kind: string; readonly leader?: string };
 
-/** The calls that the measurements are made of. */
 class ControlBench {
   readonly #bench: BenchDeployment;
   #leader: string;
-  #claims = 0;
+  #claimCount = 0;
 
   constructor(bench: BenchDeployment) {
     this.#bench = bench;
     this.#leader = bench.deployment.controls[0]!.peerAddress;
   }
 
-  /** Processor time of each role while nothing is asked of it. */
-  async reportIdle(print: (text: string) => void): Promise<void> {
+  /** Reports processor time and memory of each process without requests. */
+  async reportIdleUsage(print: (text: string) => void): Promise<void> {
     const { deployment, processes } = this.#bench;
     const names = [
       ...deployment.controls.map(({ name }) => name),
@@ -47,12 +49,12 @@
     const read = () =>
       names.map((name) => readProcessUsage(processes.pidOf(name)));
     const before = read();
-    await sleep(IDLE_TIME);
+    await sleep(IDLE_TIME_MS);
     const after = read();
-    const rows = names.map((name, place) => [
+    const rows = names.map((name, index) => [
       name,
-      (after[place]!.cpuMs - before[place]!.cpuMs) / IDLE_TIME * 100,
-      after[place]!.megabytes,
+      (after[index]!.cpuMs - before[index]!.cpuMs) / IDLE_TIME_MS * 100,
+      after[index]!.megabytes,
     ]);
     print("### Without requests: 12 entries, 3 replicas, 5 upstreams\n");
     print(formatTable(["process", "% of a core", "MB"], rows));
@@ -61,8 +63,8 @@
   async reportCommits(print: (text: string) => void): Promise<void> {
     await this.#commit();
     const rows: (string | number)[][] = [];
-    for (const writers of WRITERS) {
-      const until = performance.now() + WRITE_TIME;
+    for (const writers of WRITER_COUNTS) {
+      const until = performance.now() + WRITE_TIME_MS;
       let commits = 0;
       const times: number[] = [];
       const write = async () => {
@@ -75,18 +77,18 @@
       };
       await Promise.all(Array.from({ length: writers }, write));
       times.sort((left, right) => left - right);
-      const rate = commits / WRITE_TIME * 1000;
-      rows.push([writers, rate, quantile(times, 50), quantile(times, 99)]);
+      const rate = commits / WRITE_TIME_MS * 1000;
+      rows.push([writers, rate, percentile(times, 50), percentile(times, 99)]);
     }
     print("\n### Commits with sync, through one connection\n");
     print(formatTable(["writers", "commits/s", "p50 ms", "p99 ms"], rows));
   }
 
-  async reportChanges(print: (text: string) => void): Promise<void> {
+  async reportChangeDelays(print: (text: string) => void): Promise<void> {
     const times: number[] = [];
-    for (let count = 0; count < CHANGES; count += 1) {
+    for (let count = 0; count < CHANGE_COUNT; count += 1) {
       const { startedAt, revision } = await this.#change(count);
-      await this.#inForce(revision);
+      await this.#waitUntilActive(revision);
       times.push(performance.now() - startedAt);
     }
     times.sort((left, right) => left - right);
@@ -94,20 +96,20 @@
     print(formatTable(
       ["changes", "p50", "p95", "p99", "most"],
       [[
-        CHANGES,
-        quantile(times, 50),
-        quantile(times, 95),
-        quantile(times, 99),
+        CHANGE_COUNT,
+        percentile(times, 50),
+        percentile(times, 95),
+        percentile(times, 99),
         times.at(-1)!,
       ]],
     ));
   }
 
-  async reportLosses(print: (text: string) => void): Promise<void> {
+  async reportLeaderLosses(print: (text: string) => void): Promise<void> {
     const { deployment, processes } = this.#bench;
     const times: number[] = [];
-    let late = "";
-    for (let count = 0; count < LEADER_LOSSES; count += 1) {
+    let lastKilled = "";
+    for (let count = 0; count < LEADER_LOSS_COUNT; count += 1) {
       await this.#commit();
       const leader = deployment.controls.find((replica) =>
         replica.peerAddress === this.#leader
@@ -116,63 +118,67 @@
       const startedAt = performance.now();
       await this.#commit();
       times.push(performance.now() - startedAt);
-      late = leader.name;
-      if (count < LEADER_LOSSES - 1) {
+      lastKilled = leader.name;
+      if (count < LEADER_LOSS_COUNT - 1) {
         this.#restart(leader.name);
         await sleep(2500);
       }
     }
     print("\n### Leader killed to next commit, ms\n");
     print(formatTable(["losses", "least", "most"], [[
-      LEADER_LOSSES,
+      LEADER_LOSS_COUNT,
       Math.min(...times),
       Math.max(...times),
     ]]));
-    await this.#reportReturn(late, print);
+    await this.#reportCatchUp(lastKilled, print);
   }
 
-  async #reportReturn(
+  async #reportCatchUp(
     name: string,
     print: (text: string) => void,
   ): Promise<void> {
     let revision = 0;
-    for (let count = 0; count < MISSED_CHANGES; count += 1) {
+    for (let count = 0; count < MISSED_CHANGE_COUNT; count += 1) {
       revision = (await this.#change(count)).revision;
     }
     const { deployment, pool } = this.#bench;
-    const replica = deployment.controls.find((known) => known.name === name)!;
+    const replica = deployment.controls.find((control) =>
+      control.name === name
+    )!;
     this.#restart(name);
     const startedAt = performance.now();
     while (true) {
       const status = await pool.call(replica.peerAddress, "control.renew", {
         parameters: { entry: "bench", revision: 0 },
-        timeout: CALL_TIMEOUT,
+        timeout: CALL_TIMEOUT_MS,
       }).catch(() => undefined) as { revision?: number } | undefined;
       if (status?.revision === revision) {
         break;
       }
       await sleep(20);
     }
-    const taken = performance.now() - startedAt;
+    const elapsed = performance.now() - startedAt;
     print(
-      `\nA replica that missed ${MISSED_CHANGES} changes serves them ` +
-        `${taken.toFixed(0)} ms after its start.\n`,
+      `\nA replica that missed ${MISSED_CHANGE_COUNT} changes serves them ` +
+        `${elapsed.toFixed(0)} ms after its start.\n`,
     );
   }
 
   #restart(name: string): void {
     const { deployment, processes } = this.#bench;
-    const replica = deployment.controls.find((known) => known.name === name)!;
+    const replica = deployment.controls.find((control) =>
+      control.name === name
+    )!;
     processes.restart(name, ["--settings", replica.settingsFile]);
   }
 
-  /** Commits one claim, at whichever replica leads. */
+  /** Commits one claim through the current leader. */
   async #commit(): Promise<void> {
-    this.#claims += 1;
+    this.#claimCount += 1;
     await this.#propose({
       kind: "claim",
       workspace: "bench",
-      key: `key-${this.#claims}`,
+      key: `key-${this.#claimCount}`,
       digest: "digest",
       owner: "bench",
       attempt: createToken(),
@@ -184,19 +190,21 @@
   async #propose(command: unknown): Promise<unknown> {
     const { pool, deployment } = this.#bench;
     const addresses = deployment.controls.map((replica) => replica.peerAddress);
-    for (let turn = 0;; turn += 1) {
+    for (let attempt = 0;; attempt += 1) {
       const reply = await pool.call(this.#leader, "control.propose", {
-        parameters: { command, timeout: CALL_TIMEOUT },
-        timeout: CALL_TIMEOUT,
+        parameters: { command, timeout: CALL_TIMEOUT_MS },
+        timeout: CALL_TIMEOUT_MS,
       }).catch(() => undefined) as
-        | Proposal & { result?: unknown }
+        | ProposalReply & { result?: unknown }
         | undefined;
       if (reply?.kind === "done") {
         return reply.result;
       }
-      const known = reply?.leader ?? "";
-      this.#leader = known === "" ? addresses[turn % addresses.length]! : known;
-      if (known === "") {
+      const leader = reply?.leader ?? "";
+      this.#leader = leader === ""
+        ? addresses[attempt % addresses.length]!
+        : leader;
+      if (leader === "") {
         await sleep(5);
       }
     }
@@ -233,7 +241,7 @@
     while (true) {
       const reply = await pool.call(this.#leader, "control.renew", {
         parameters: { entry: "bench", revision: 0 },
-        timeout: CALL_TIMEOUT,
+        timeout: CALL_TIMEOUT_MS,
       }).catch(() => undefined) as { revision?: number } | undefined;
       if (reply?.revision !== undefined) {
         return reply.revision;
@@ -242,14 +250,14 @@
     }
   }
 
-  /** Waits until every entry says that the revision is in force there. */
-  async #inForce(revision: number): Promise<void> {
+  /** Waits until every entry reports that it has applied the revision. */
+  async #waitUntilActive(revision: number): Promise<void> {
     const { pool, deployment } = this.#bench;
     await Promise.all(deployment.entries.map(async (entry) => {
       while (true) {
         const status = await pool.call(entry.peerAddress, "entry.status", {
           parameters: {},
-          timeout: CALL_TIMEOUT,
+          timeout: CALL_TIMEOUT_MS,
         }) as { members: { name: string; revision: number }[] };
         const own = status.members.find(({ name }) => name === entry.name);
         if ((own?.revision ?? 0) >= revision) {
@@ -261,9 +269,9 @@
   }
 }
 
-function quantile(sorted: readonly number[], percent: number): number {
-  const place = Math.floor(sorted.length * percent / 100);
-  return sorted[Math.min(place, sorted.length - 1)] ?? 0;
+function percentile(sorted: readonly number[], percent: number): number {
+  const index = Math.floor(sorted.length * percent / 100);
+  return sorted[Math.min(index, sorted.length - 1)] ?? 0;
 }
 
 function sleep(milliseconds: number): Promise<void> {
--- a/packages/bench/live/stream_load.ts
+++ b/packages/bench/live/run_stream_load.ts
@@ -1,43 +1,48 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { type Agent, request } from "undici";
 
-/** What a load is made of. */
 type LoadOptions = {
-  /** Addresses in turn. */
+  /** Servers that receive the requests in rotation, as `host:port`. */
   readonly addresses: readonly string[];
   readonly key: string;
-  /** Requests a second, evenly spaced whatever the answers do. */
+  /**
+   * Requests per second, sent at even intervals regardless of the responses.
+   */
   readonly rate: number;
   readonly seconds: number;
   readonly tokens: number;
   readonly agent: Agent;
 };
 
-/** Latencies in microseconds. */
+/** Latency histograms in microseconds, and request counts. */
 type LoadResult = {
-  readonly first: Histogram;
-  readonly between: Histogram;
+  readonly firstToken: Histogram;
+  readonly tokenInterval: Histogram;
   readonly answered: number;
   readonly failed: number;
 };
 
-const MICROSECONDS = 1000;
+const MICROSECONDS_PER_MS = 1000;
 const MS_PER_SECOND = 1000;
 
-/** Sends streamed chat requests at a fixed rate and times their tokens. */
+/**
+ * Sends streaming chat requests at a fixed rate and measures their token
+ * latencies.
+ */
 export async function runStreamLoad(options: LoadOptions): Promise<LoadResult> {
-  const first = build({ numberOfSignificantValueDigits: 3 });
-  const between = build({ numberOfSignificantValueDigits: 3 });
-  const result = { first, between, answered: 0, failed: 0 };
-  const total = options.rate * options.seconds;
+  const firstToken = build({ numberOfSignificantValueDigits: 3 });
+  const tokenInterval = build({ numberOfSignificantValueDigits: 3 });
+  const result = { firstToken, tokenInterval, answered: 0, failed: 0 };
+  const totalCount = options.rate * options.seconds;
   const startedAt = performance.now();
   const running: Promise<void>[] = [];
-  let sent = 0;
-  while (sent < total) {
-    const due = (performance.now() - startedAt) / MS_PER_SECOND * options.rate;
-    while (sent < Math.min(total, due)) {
-      running.push(sendOne(options, { place: sent, result }));
-      sent += 1;
+  let sentCount = 0;
+  while (sentCount < totalCount) {
+    const dueCount = (performance.now() - startedAt) / MS_PER_SECOND *
+      options.rate;
+    while (sentCount < Math.min(totalCount, dueCount)) {
+      running.push(sendRequest(options, { index: sentCount, result }));
+      sentCount += 1;
     }
     await new Promise((resolve) => setTimeout(resolve, 1));
   }
@@ -45,23 +50,23 @@
   return result;
 }
 
-async function sendOne(
+async function sendRequest(
   options: LoadOptions,
   target: {
-    place: number;
+    index: number;
     result: { -readonly [Key in keyof LoadResult]: LoadResult[Key] };
   },
 ): Promise<void> {
-  const { place, result } = target;
-  const address = options.addresses[place % options.addresses.length]!;
+  const { index, result } = target;
+  const address = options.addresses[index % options.addresses.length]!;
   const body = JSON.stringify({
     model: "assistant",
     stream: true,
     max_tokens: options.tokens,
-    messages: [{ role: "user", content: `Load ${place}` }],
+    messages: [{ role: "user", content: `Load ${index}` }],
   });
   const sentAt = performance.now();
-  let lastAt = 0;
+  let lastChunkAt = 0;
   try {
     const response = await request(`http://${address}/v1/chat/completions`, {
       method: "POST",
@@ -74,12 +79,14 @@
     });
     for await (const _chunk of response.body) {
       const now = performance.now();
-      if (lastAt === 0) {
-        result.first.recordValue((now - sentAt) * MICROSECONDS);
+      if (lastChunkAt === 0) {
+        result.firstToken.recordValue((now - sentAt) * MICROSECONDS_PER_MS);
       } else {
-        result.between.recordValue((now - lastAt) * MICROSECONDS);
+        result.tokenInterval.recordValue(
+          (now - lastChunkAt) * MICROSECONDS_PER_MS,
+        );
       }
-      lastAt = now;
+      lastChunkAt = now;
     }
     result.answered += response.statusCode === 200 ? 1 : 0;
     result.failed += response.statusCode === 200 ? 0 : 1;
--- a/packages/bench/live/start_bench_deployment.ts
+++ b/packages/bench/live/start_bench_deployment.ts
@@ -10,9 +10,11 @@
 import type { BenchDeployment } from "./bench_deployment.ts";
 
 const FIRST_PORT = 31_000;
-const CONNECT_TIMEOUT = 1000;
+const CONNECT_TIMEOUT_MS = 1000;
 
-/** Starts 3 replicas, 12 entries, 4 engines and a service. */
+/**
+ * Starts 3 control replicas, 12 entries, 4 model engines and a plain service.
+ */
 export async function startBenchDeployment(
   scripts: ProcessScripts,
 ): Promise<BenchDeployment> {
@@ -29,7 +31,7 @@
   const processes = await startDeployment(deployment, scripts);
   const pool = new PeerPool({
     secret: deployment.sharedSecret,
-    connectTimeout: CONNECT_TIMEOUT,
+    connectTimeout: CONNECT_TIMEOUT_MS,
     localHost: "",
   });
   return {
--- a/packages/bench/main.ts
+++ b/packages/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the product: `npm run bench`, or `npm run bench -- --only NAME`.
+ * Runs the benchmarks: `npm run bench`, or `npm run bench -- --only NAME`.
  *
  * @module
  */
@@ -7,13 +7,15 @@
 import { fileURLToPath } from "node:url";
 import { parseArgs } from "node:util";
 import { startBenchDeployment } from "./live/start_bench_deployment.ts";
-import { reportControl } from "./live/report_control.ts";
+import { reportControlGroup } from "./live/report_control_group.ts";
 import { reportLatency } from "./live/report_latency.ts";
 import { reportPolicies } from "./policy/report_policies.ts";
-import { measureExchange } from "./slopes/exchange_slope.ts";
+import { measureExchange } from "./slopes/measure_exchange.ts";
 import { reportSlopes } from "./slopes/report_slopes.ts";
 
-const PLOTS = fileURLToPath(new URL("../../../docs/plots/", import.meta.url));
+const PLOTS_FOLDER = fileURLToPath(
+  new URL("../../../docs/plots/", import.meta.url),
+);
 const POLICY_WORKER = new URL("./policy/policy_worker.js", import.meta.url);
 
 const SCRIPTS = {
@@ -25,23 +27,24 @@
   ),
 };
 
-/** The parts of the bench, in the order in which they run. */
-const PARTS: Readonly<Record<string, () => Promise<void>>> = {
-  policy: () => reportPolicies({ worker: POLICY_WORKER, plots: PLOTS, print }),
-  live: reportLive,
+/** Benchmarks by name, in the order in which they run. */
+const BENCHMARKS: Readonly<Record<string, () => Promise<void>>> = {
+  policy: () =>
+    reportPolicies({ worker: POLICY_WORKER, plotsFolder: PLOTS_FOLDER, print }),
+  live: reportLiveDeployment,
   slopes: async () => reportSlopes(print),
 };
 
 const { values } = parseArgs({
   options: {
     only: { type: "string" },
-    // The exchange's cost, one JSON object a line, for programs.
+    // Prints the costs of the state exchange as one JSON object per line.
     json: { type: "boolean", default: false },
   },
 });
 if (values.json) {
   if (values.only !== "slopes") {
-    print("--json goes with the slopes. Remedy: add --only slopes.");
+    print("--json works only with the slopes. Remedy: add --only slopes.");
     process.exit(2);
   }
   for (const cost of measureExchange()) {
@@ -49,16 +52,16 @@
   }
   process.exit(0);
 }
-if (values.only !== undefined && !Object.hasOwn(PARTS, values.only)) {
+if (values.only !== undefined && !Object.hasOwn(BENCHMARKS, values.only)) {
   print(
-    `There is no part ${values.only}. Remedy: use one of ${
-      Object.keys(PARTS).join(", ")
+    `Unknown benchmark ${values.only}. Remedy: use one of ${
+      Object.keys(BENCHMARKS).join(", ")
     }.`,
   );
   process.exit(2);
 }
-mkdirSync(PLOTS, { recursive: true });
-for (const [name, run] of Object.entries(PARTS)) {
+mkdirSync(PLOTS_FOLDER, { recursive: true });
+for (const [name, run] of Object.entries(BENCHMARKS)) {
   if (values.only === undefined || values.only === name) {
     const startedAt = performance.now();
     print(`\n## ${name}`);
@@ -68,11 +71,11 @@
   }
 }
 
-async function reportLive(): Promise<void> {
+async function reportLiveDeployment(): Promise<void> {
   const bench = await startBenchDeployment(SCRIPTS);
   try {
     await reportLatency(bench, print);
-    await reportControl(bench, print);
+    await reportControlGroup(bench, print);
   } finally {
     bench.stop();
   }
--- a/packages/bench/policy/policies.ts
+++ b/packages/bench/policy/policies.ts
@@ -5,42 +5,42 @@
 } from "@heroncleat/routing";
 import type { Policy } from "./policy.ts";
 
-/** The product's policy under both weightings, and the baselines. */
+/** Weighted load balancing under both weightings, and the baselines. */
 export const POLICIES = {
   cost: {
     name: "heroncleat, cost first",
-    choose: () => createWeightedPolicy("cost"),
-    restarts: false,
-    onDemandOnly: false,
+    createLoadBalancingPolicy: () => createWeightedPolicy("cost"),
+    restartsFromScratch: false,
+    usesOnlyOnDemand: false,
   },
   recompute: {
     name: "heroncleat, recompute first",
-    choose: () => createWeightedPolicy("recompute"),
-    restarts: false,
-    onDemandOnly: false,
+    createLoadBalancingPolicy: () => createWeightedPolicy("recompute"),
+    restartsFromScratch: false,
+    usesOnlyOnDemand: false,
   },
   roundRobin: {
     name: "round robin",
-    choose: () => createRoundRobinPolicy(),
-    restarts: false,
-    onDemandOnly: false,
+    createLoadBalancingPolicy: () => createRoundRobinPolicy(),
+    restartsFromScratch: false,
+    usesOnlyOnDemand: false,
   },
   leastLoaded: {
     name: "least loaded",
-    choose: () => chooseLeastLoaded,
-    restarts: false,
-    onDemandOnly: false,
+    createLoadBalancingPolicy: () => chooseLeastLoaded,
+    restartsFromScratch: false,
+    usesOnlyOnDemand: false,
   },
   restart: {
     name: "restart from scratch",
-    choose: () => createWeightedPolicy("cost"),
-    restarts: true,
-    onDemandOnly: false,
+    createLoadBalancingPolicy: () => createWeightedPolicy("cost"),
+    restartsFromScratch: true,
+    usesOnlyOnDemand: false,
   },
   onDemand: {
     name: "on-demand only",
-    choose: () => createWeightedPolicy("cost"),
-    restarts: false,
-    onDemandOnly: true,
+    createLoadBalancingPolicy: () => createWeightedPolicy("cost"),
+    restartsFromScratch: false,
+    usesOnlyOnDemand: true,
   },
 } as const satisfies Record<string, Policy>;
--- a/packages/bench/policy/policy.ts
+++ b/packages/bench/policy/policy.ts
@@ -1,11 +1,16 @@
 import type { LoadBalancingPolicy } from "@heroncleat/routing";
 
-/** One way to run the system. */
+/**
+ * Load balancing, retry and VM purchase options that are compared with others.
+ */
 export type Policy = {
   readonly name: string;
-  readonly choose: () => LoadBalancingPolicy;
-  /** Whether an answer that lost its upstream begins anew. */
-  readonly restarts: boolean;
-  /** Whether only on-demand VMs are held. */
-  readonly onDemandOnly: boolean;
+  readonly createLoadBalancingPolicy: () => LoadBalancingPolicy;
+  /**
+   * Whether a response is generated from its start again after its upstream is
+   * lost.
+   */
+  readonly restartsFromScratch: boolean;
+  /** Whether only on-demand VMs are started. */
+  readonly usesOnlyOnDemand: boolean;
 };
--- a/packages/bench/policy/policy_result.ts
+++ b/packages/bench/policy/policy_result.ts
@@ -1,18 +1,21 @@
-/** What a run came to, one column each. */
+/** Figures of one run; latencies are in ms. */
 export type PolicyResult = {
-  readonly firstP50: number;
-  readonly firstP95: number;
-  readonly firstP99: number;
-  readonly betweenP95: number;
-  /** Share of all requests answered within both targets. */
+  readonly firstTokenP50: number;
+  readonly firstTokenP95: number;
+  readonly firstTokenP99: number;
+  readonly tokenIntervalP95: number;
+  /**
+   * Share of all requests completed within both latency targets, from 0 to 1.
+   */
   readonly withinTarget: number;
   readonly refused: number;
   readonly lost: number;
-  readonly recomputed: number;
-  /** Prompt tokens computed for each request. */
-  readonly computedEach: number;
-  readonly costPerThousand: number;
+  readonly recomputedTokens: number;
+  /** Mean number of prompt tokens prefilled per completed request. */
+  readonly prefillTokensPerRequest: number;
+  /** VM cost per 1000 responses within both latency targets. */
+  readonly costPerThousandGood: number;
   readonly answered: number;
-  /** Good answers by workspace. */
-  readonly goodBy: readonly number[];
+  /** Responses within both latency targets, by workspace. */
+  readonly goodByWorkspace: readonly number[];
 };
--- a/packages/bench/policy/policy_task.ts
+++ b/packages/bench/policy/policy_task.ts
@@ -1,11 +1,11 @@
 import type { POLICIES } from "./policies.ts";
 import type { WORKLOADS } from "./workloads.ts";
 
-/** One run of the policy table, as it is given to a worker. */
+/** One run of the policy benchmark, as posted to a worker thread. */
 export type PolicyTask = {
   readonly workload: keyof typeof WORKLOADS;
   readonly policy: keyof typeof POLICIES;
-  /** Place in the list of scenarios. */
+  /** Index in `SCENARIOS`. */
   readonly scenario: number;
   readonly seed: number;
 };
--- a/packages/bench/policy/policy_worker.ts
+++ b/packages/bench/policy/policy_worker.ts
@@ -1,5 +1,5 @@
 /**
- * Worker thread: runs the policy tasks it is sent, one at a time.
+ * Worker thread that runs the policy tasks posted to it, one at a time.
  *
  * @module
  */
--- a/packages/bench/policy/report_policies.ts
+++ b/packages/bench/policy/report_policies.ts
@@ -1,6 +1,6 @@
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
-import { drawBarChart } from "../report/bar_chart.ts";
+import { drawBarChart } from "../report/draw_bar_chart.ts";
 import { formatTable } from "../report/format_table.ts";
 import { POLICIES } from "./policies.ts";
 import type { PolicyResult } from "./policy_result.ts";
@@ -10,24 +10,26 @@
 import { SCENARIOS } from "./scenarios.ts";
 import { WORKLOADS } from "./workloads.ts";
 
-/** What the report is made with. */
 type ReportOptions = {
   /** Script of the worker threads. */
   readonly worker: URL;
-  /** Folder for the plots. */
-  readonly plots: string;
+  /** Folder that the SVG plots are written to. */
+  readonly plotsFolder: string;
   readonly print: (text: string) => void;
 };
 
 const FIRST_SEED = 20261202;
-/** Runs that each row is the mean of; the Bureau's have fewer requests. */
-const RUNS = { bordvakt: 2, bureau: 4 } as const;
-/** Loads as multiples of the calm rate; the fleet stays the same. */
-const LOADS = [1, 1.5, 2, 2.5, 3, 4, 5];
-const FLEET_DEMAND = 36;
+/**
+ * Runs averaged per row; a bureau run has fewer requests, so it needs more
+ * runs.
+ */
+const RUNS_PER_ROW = { bordvakt: 2, bureau: 4 } as const;
+/** Multiples of the base request rate, served by a fleet of constant size. */
+const OVERLOAD_FACTORS = [1, 1.5, 2, 2.5, 3, 4, 5];
+const FIXED_FLEET_DEMAND = 36;
 
-/** Each user's weighting beside the baselines. */
-const SHOWN = {
+/** Policies that are compared under each workload. */
+const SHOWN_POLICIES = {
   bordvakt: ["cost", "roundRobin", "leastLoaded", "restart", "onDemand"],
   bureau: ["recompute", "roundRobin", "leastLoaded", "restart", "onDemand"],
 } as const satisfies Record<
@@ -35,22 +37,24 @@
   readonly (keyof typeof POLICIES)[]
 >;
 
-/** Measures and prints the policy tables, and draws the plots. */
+/** Runs all policies, prints their result tables and writes the plots. */
 export async function reportPolicies(options: ReportOptions): Promise<void> {
   const tasks = listTasks();
-  const finished = meanOfSeeds(await runTasks(tasks, options.worker));
+  const finished = averageSeeds(await runTasks(tasks, options.worker));
   for (const workload of Object.keys(WORKLOADS) as (keyof typeof WORKLOADS)[]) {
-    const own = finished.filter(({ task }) => task.workload === workload);
+    const workloadResults = finished.filter(({ task }) =>
+      task.workload === workload
+    );
     options.print(`\n### ${WORKLOADS[workload].name}\n`);
-    options.print(formatRuns(own));
-    drawPlots(own, { workload, plots: options.plots });
+    options.print(formatResults(workloadResults));
+    drawPlots(workloadResults, { workload, plotsFolder: options.plotsFolder });
   }
   options.print("\n### Overload: a fixed fleet, Bordvakt's callers\n");
   options.print(reportOverload());
 }
 
-/** One row for each policy and scenario: the mean of its runs. */
-function meanOfSeeds(runs: Runs): Runs {
+/** Averages the runs of each workload, scenario and policy over their seeds. */
+function averageSeeds(runs: FinishedTasks): FinishedTasks {
   const rows = new Map<string, { task: PolicyTask; results: PolicyResult[] }>();
   for (const { task, result } of runs) {
     const key = `${task.workload} ${task.scenario} ${task.policy}`;
@@ -60,11 +64,11 @@
   }
   return [...rows.values()].map(({ task, results }) => ({
     task,
-    result: meanOf(results),
+    result: averageResults(results),
   }));
 }
 
-function meanOf(results: readonly PolicyResult[]): PolicyResult {
+function averageResults(results: readonly PolicyResult[]): PolicyResult {
   const mean = (read: (result: PolicyResult) => number) => {
     let total = 0;
     for (const result of results) {
@@ -73,18 +77,18 @@
     return total / results.length;
   };
   return {
-    firstP50: mean((result) => result.firstP50),
-    firstP95: mean((result) => result.firstP95),
-    firstP99: mean((result) => result.firstP99),
-    betweenP95: mean((result) => result.betweenP95),
+    firstTokenP50: mean((result) => result.firstTokenP50),
+    firstTokenP95: mean((result) => result.firstTokenP95),
+    firstTokenP99: mean((result) => result.firstTokenP99),
+    tokenIntervalP95: mean((result) => result.tokenIntervalP95),
     withinTarget: mean((result) => result.withinTarget),
     refused: mean((result) => result.refused),
     lost: mean((result) => result.lost),
-    recomputed: mean((result) => result.recomputed),
-    computedEach: mean((result) => result.computedEach),
-    costPerThousand: mean((result) => result.costPerThousand),
+    recomputedTokens: mean((result) => result.recomputedTokens),
+    prefillTokensPerRequest: mean((result) => result.prefillTokensPerRequest),
+    costPerThousandGood: mean((result) => result.costPerThousandGood),
     answered: mean((result) => result.answered),
-    goodBy: results[0]!.goodBy,
+    goodByWorkspace: results[0]!.goodByWorkspace,
   };
 }
 
@@ -92,8 +96,8 @@
   const tasks: PolicyTask[] = [];
   for (const workload of Object.keys(WORKLOADS) as (keyof typeof WORKLOADS)[]) {
     for (const scenario of SCENARIOS.keys()) {
-      for (const policy of SHOWN[workload]) {
-        for (let run = 0; run < RUNS[workload]; run += 1) {
+      for (const policy of SHOWN_POLICIES[workload]) {
+        for (let run = 0; run < RUNS_PER_ROW[workload]; run += 1) {
           const seed = FIRST_SEED + run;
           tasks.push({ workload, policy, scenario, seed });
         }
@@ -103,26 +107,25 @@
   return tasks;
 }
 
-/** Tasks with their results. */
-type Runs = readonly {
+type FinishedTasks = readonly {
   readonly task: PolicyTask;
   readonly result: PolicyResult;
 }[];
 
-function formatRuns(runs: Runs): string {
+function formatResults(runs: FinishedTasks): string {
   const rows = runs.map(({ task, result }) => [
     SCENARIOS[task.scenario]!.name,
     POLICIES[task.policy].name,
-    result.firstP50,
-    result.firstP95,
-    result.firstP99,
-    result.betweenP95,
+    result.firstTokenP50,
+    result.firstTokenP95,
+    result.firstTokenP99,
+    result.tokenIntervalP95,
     (result.withinTarget * 100).toFixed(1),
     result.refused,
     result.lost,
-    result.recomputed,
-    result.computedEach,
-    result.costPerThousand,
+    result.recomputedTokens,
+    result.prefillTokensPerRequest,
+    result.costPerThousandGood,
   ]);
   return formatTable([
     "scenario",
@@ -141,15 +144,18 @@
 }
 
 function drawPlots(
-  runs: Runs,
-  options: { workload: string; plots: string },
+  runs: FinishedTasks,
+  options: { workload: string; plotsFolder: string },
 ): void {
   const columns = {
-    first_token_p95: { unit: "ms", read: (r: PolicyResult) => r.firstP95 },
-    recomputed: { unit: "tokens", read: (r: PolicyResult) => r.recomputed },
+    first_token_p95: { unit: "ms", read: (r: PolicyResult) => r.firstTokenP95 },
+    recomputed: {
+      unit: "tokens",
+      read: (r: PolicyResult) => r.recomputedTokens,
+    },
     cost: {
       unit: "price for 1,000 good answers",
-      read: (r: PolicyResult) => r.costPerThousand,
+      read: (r: PolicyResult) => r.costPerThousandGood,
     },
   };
   const policies = [...new Set(runs.map(({ task }) => task.policy))];
@@ -164,37 +170,46 @@
           .map(({ result }) => read(result)),
       })),
     });
-    writeFileSync(join(options.plots, `${options.workload}_${name}.svg`), svg);
+    writeFileSync(
+      join(options.plotsFolder, `${options.workload}_${name}.svg`),
+      svg,
+    );
   }
 }
 
-/** Goodput and the workspaces' shares with more load than can be served. */
+/**
+ * Reports goodput, in total and by workspace, under loads beyond the fleet
+ * capacity.
+ */
 function reportOverload(): string {
-  const base = {
+  const baseOptions = {
     policy: POLICIES.cost,
     seed: FIRST_SEED,
-    fixedFleet: FLEET_DEMAND,
+    fixedFleet: FIXED_FLEET_DEMAND,
   };
   const { rate } = WORKLOADS.bordvakt;
-  const scenario = (load: number) => ({ name: "overload", load: () => load });
-  const runs = LOADS.map((load) => ({
+  const scenario = (factor: number) => ({
+    name: "overload",
+    load: () => factor,
+  });
+  const runs = OVERLOAD_FACTORS.map((load) => ({
     load,
     result: runPolicy({
-      ...base,
+      ...baseOptions,
       workload: WORKLOADS.bordvakt,
       scenario: scenario(load),
     }),
   }));
-  const goodOf = (result: PolicyResult) =>
-    result.goodBy.reduce((total, good) => total + good, 0);
-  const best = Math.max(...runs.map(({ result }) => goodOf(result)));
+  const countGood = (result: PolicyResult) =>
+    result.goodByWorkspace.reduce((total, good) => total + good, 0);
+  const best = Math.max(...runs.map(({ result }) => countGood(result)));
   const rows = runs.map(({ load, result }) => [
     (rate * load).toFixed(0),
     result.answered,
     result.refused,
-    result.firstP95,
-    `${(goodOf(result) / best * 100).toFixed(0)} %`,
-    ...result.goodBy,
+    result.firstTokenP95,
+    `${(countGood(result) / best * 100).toFixed(0)} %`,
+    ...result.goodByWorkspace,
   ]);
   return formatTable([
     "offered / s",
--- a/packages/bench/policy/run_policy.ts
+++ b/packages/bench/policy/run_policy.ts
@@ -5,7 +5,7 @@
   type Offer,
 } from "@heroncleat/capacity";
 import { VirtualTime } from "../virtual_time.ts";
-import { CallerStream } from "./caller_stream.ts";
+import { RequestGenerator } from "./request_generator.ts";
 import { Outcomes } from "./outcomes.ts";
 import type { Policy } from "./policy.ts";
 import type { PolicyResult } from "./policy_result.ts";
@@ -14,32 +14,37 @@
 import { SimulatedVm } from "./simulated_vm.ts";
 import type { Workload } from "./workload.ts";
 
-/** What one run is made of. */
 type RunOptions = {
   readonly policy: Policy;
   readonly scenario: Scenario;
   readonly workload: Workload;
   readonly seed: number;
-  /** Keeps the first fleet, whatever the demand. */
-  readonly fixedFleet?: number;
+  /**
+   * Demand that a fleet of constant size is planned for; without it, the fleet
+   * follows the load.
+   */
+  readonly fixedDemand?: number;
 };
 
-const DURATION = 160_000;
-const ENTRIES = 3;
-const SLOTS = 8;
-const REPORT_INTERVAL = 500;
-const REPORT_DELAY = 150;
-const CACHE_EVENT_DELAY = 600;
-const PLAN_INTERVAL = 5000;
-const START_TIME = 40_000;
-const NOTICE = 2000;
-const REFUSED_FOR = 45_000;
-const TICK = 20;
-const LAPSE_DELAY = 1500;
-/** Upstreams have announced themselves by then. */
-const FIRST_CALL = 1000;
-/** Requests a VM carries at once in calm times, for the first plan. */
-const FIRST_DEMAND_SHARE = 3;
+const DURATION_MS = 160_000;
+const ENTRY_COUNT = 3;
+const SLOTS_PER_VM = 8;
+const ANNOUNCE_INTERVAL_MS = 500;
+const ANNOUNCE_DELAY_MS = 150;
+const CACHE_EVENT_DELAY_MS = 600;
+const PLAN_INTERVAL_MS = 5000;
+const VM_START_TIME_MS = 40_000;
+const RECLAIM_NOTICE_MS = 2000;
+const START_REFUSAL_MS = 45_000;
+const TICK_INTERVAL_MS = 20;
+const LEASE_EXPIRY_DELAY_MS = 1500;
+/** By then, all initial upstreams have announced themselves. */
+const FIRST_REQUEST_AT_MS = 1000;
+/**
+ * Assumed request duration, which converts the request rate into the initial
+ * demand.
+ */
+const INITIAL_REQUEST_SECONDS = 3;
 
 const ZONES = [
   { zone: "zone-a", price: 0.9 },
@@ -55,7 +60,7 @@
   return run.execute();
 }
 
-/** The cloud, the entries and the callers of one run. */
+/** Simulates the cloud provider, the entries and the callers of one run. */
 class PolicyRun {
   readonly #options: RunOptions;
   readonly #time = new VirtualTime();
@@ -64,65 +69,68 @@
   readonly #planner = new CapacityPlanner(CAPACITY_DEFAULTS);
   readonly #vms = new Map<string, SimulatedVm>();
   readonly #entries: SimulatedEntry[];
-  #refusedUntil = 0;
+  #startsRefusedUntil = 0;
   #demand = 0;
 
   constructor(options: RunOptions) {
     this.#options = options;
     this.#random = createSeededRandom(options.seed);
     this.#entries = Array.from(
-      { length: ENTRIES },
-      (_, place) =>
+      { length: ENTRY_COUNT },
+      (_, index) =>
         new SimulatedEntry({
-          name: `entry-${place}`,
+          name: `entry-${index}`,
           policy: options.policy,
           time: this.#time,
           outcomes: this.#outcomes,
           findVm: (name) => this.#vms.get(name),
-          onCached: (vm, blocks) => this.#spreadCache(vm, blocks),
-          entries: ENTRIES,
+          onBlocksCached: (vm, blocks) => this.#sendCacheEvent(vm, blocks),
+          entries: ENTRY_COUNT,
         }),
     );
   }
 
   execute(): PolicyResult {
-    const { workload, scenario, fixedFleet } = this.#options;
-    this.#demand = fixedFleet ?? workload.rate * FIRST_DEMAND_SHARE;
+    const { workload, scenario, fixedDemand } = this.#options;
+    this.#demand = fixedDemand ?? workload.rate * INITIAL_REQUEST_SECONDS;
     this.#plan({ startTime: 0 });
-    this.#time.every(TICK, () => this.#tick());
-    this.#time.every(REPORT_INTERVAL, () => this.#report());
-    if (fixedFleet === undefined) {
-      this.#time.every(PLAN_INTERVAL, () => this.#followDemand());
+    this.#time.every(TICK_INTERVAL_MS, () => this.#tick());
+    this.#time.every(ANNOUNCE_INTERVAL_MS, () => this.#announceAll());
+    if (fixedDemand === undefined) {
+      this.#time.every(PLAN_INTERVAL_MS, () => this.#updateDemand());
     }
-    if (scenario.wave !== undefined) {
-      const { zone, at } = scenario.wave;
-      this.#time.schedule(() => this.#takeZone(zone), at);
+    if (scenario.zoneReclaim !== undefined) {
+      const { zone, at } = scenario.zoneReclaim;
+      this.#time.schedule(() => this.#reclaimZone(zone), at);
     }
-    const callers = new CallerStream(workload, this.#random);
-    this.#time.schedule(() => this.#nextCall(callers), FIRST_CALL);
-    this.#time.run(DURATION);
+    const generator = new RequestGenerator(workload, this.#random);
+    this.#time.schedule(
+      () => this.#scheduleNextRequest(generator),
+      FIRST_REQUEST_AT_MS,
+    );
+    this.#time.run(DURATION_MS);
     return this.#summarize();
   }
 
   #summarize(): PolicyResult {
     let cost = 0;
     for (const vm of this.#vms.values()) {
-      cost += vm.costUntil(DURATION);
+      cost += vm.costUntil(DURATION_MS);
     }
     let unfinished = 0;
     for (const entry of this.#entries) {
-      unfinished += entry.unfinished;
+      unfinished += entry.unfinishedCount;
     }
     return this.#outcomes.summarize(cost, unfinished);
   }
 
-  #nextCall(callers: CallerStream): void {
+  #scheduleNextRequest(generator: RequestGenerator): void {
     const load = this.#options.scenario.load(this.#time.now);
     this.#time.schedule(() => {
-      const place = Math.floor(this.#random() * ENTRIES);
-      this.#entries[place]!.offer(callers.next(this.#time.now));
-      this.#nextCall(callers);
-    }, callers.nextGap(load));
+      const index = Math.floor(this.#random() * ENTRY_COUNT);
+      this.#entries[index]!.offer(generator.nextRequest(this.#time.now));
+      this.#scheduleNextRequest(generator);
+    }, generator.nextInterval(load));
   }
 
   #tick(): void {
@@ -131,7 +139,7 @@
     }
   }
 
-  #report(): void {
+  #announceAll(): void {
     for (const vm of this.#vms.values()) {
       if (vm.isUp) {
         this.#announce(vm);
@@ -140,39 +148,40 @@
   }
 
   #announce(vm: SimulatedVm): void {
-    const announcement = vm.announce();
+    const announcement = vm.createAnnouncement();
     this.#time.schedule(() => {
       for (const entry of this.#entries) {
-        entry.receive(announcement);
+        entry.handleAnnouncement(announcement);
       }
-    }, REPORT_DELAY);
+    }, ANNOUNCE_DELAY_MS);
   }
 
-  #spreadCache(vm: SimulatedVm, blocks: string[]): void {
+  #sendCacheEvent(vm: SimulatedVm, blocks: string[]): void {
     vm.cacheSequence += 1;
     const sequence = vm.cacheSequence;
-    if (this.#random() < (this.#options.scenario.cacheLoss ?? 0)) {
+    if (this.#random() < (this.#options.scenario.cacheEventLoss ?? 0)) {
       return;
     }
     this.#time.schedule(() => {
       for (const entry of this.#entries) {
-        entry.hearCache(vm.name, sequence, blocks);
+        entry.applyCacheEvent(vm.name, sequence, blocks);
       }
-    }, CACHE_EVENT_DELAY);
+    }, CACHE_EVENT_DELAY_MS);
   }
 
-  #followDemand(): void {
-    let busy = 0;
+  #updateDemand(): void {
+    let inFlight = 0;
     for (const vm of this.#vms.values()) {
-      busy += vm.isUp ? vm.engine.running + vm.engine.waiting : 0;
+      inFlight += vm.isUp ? vm.engine.running + vm.engine.waiting : 0;
     }
     for (const entry of this.#entries) {
-      busy += entry.waiting;
+      inFlight += entry.waiting;
     }
-    // Fast up, slow down: a peak must not find the fleet just given back.
-    const weight = busy > this.#demand ? 0.5 : 0.05;
-    this.#demand += weight * (busy - this.#demand);
-    this.#plan({ startTime: START_TIME });
+    // The estimate rises quickly and falls slowly, so that VMs are kept between
+    // two load peaks.
+    const smoothing = inFlight > this.#demand ? 0.5 : 0.05;
+    this.#demand += smoothing * (inFlight - this.#demand);
+    this.#plan({ startTime: VM_START_TIME_MS });
   }
 
   #plan(options: { startTime: number }): void {
@@ -199,34 +208,36 @@
       zone,
       vmClass: "on_demand" as const,
       price: ON_DEMAND_PRICE,
-      slots: SLOTS,
+      slots: SLOTS_PER_VM,
     }));
-    if (this.#options.policy.onDemandOnly) {
+    if (this.#options.policy.usesOnlyOnDemand) {
       return onDemand;
     }
     const reclaimable = ZONES.map(({ zone, price }) => ({
       zone,
       vmClass: "reclaimable" as const,
       price,
-      slots: SLOTS,
+      slots: SLOTS_PER_VM,
     }));
     return [...reclaimable, ...onDemand];
   }
 
   #startVm(offer: Offer, startTime: number): void {
-    const refused = offer.vmClass === "reclaimable" &&
-      this.#time.now < this.#refusedUntil;
-    if (refused) {
+    const isRefused = offer.vmClass === "reclaimable" &&
+      this.#time.now < this.#startsRefusedUntil;
+    if (isRefused) {
       this.#planner.startRefused(offer, this.#time.now);
       return;
     }
     this.#planner.started(offer);
-    const place = this.#vms.size;
-    const slow = place === 1 ? this.#options.scenario.slowUpstream ?? 1 : 1;
-    const vm = new SimulatedVm(`vm-${place}`, {
+    const index = this.#vms.size;
+    const slowdown = index === 1
+      ? this.#options.scenario.decodeSlowdown ?? 1
+      : 1;
+    const vm = new SimulatedVm(`vm-${index}`, {
       offer,
       time: this.#time,
-      slowness: slow,
+      decodeSlowdown: slowdown,
     });
     this.#vms.set(vm.name, vm);
     this.#time.schedule(() => {
@@ -237,48 +248,48 @@
     }, startTime);
   }
 
-  /** A planned stop: no new work, and gone once idle. */
+  /** Drains a VM and terminates it once it is idle. */
   #stopVm(name: string): void {
     const vm = this.#vms.get(name)!;
-    vm.announceLeave(60_000);
+    vm.startDeparture(60_000);
     this.#announce(vm);
-    const check = () => {
+    const terminateIfIdle = () => {
       if (vm.engine.running + vm.engine.waiting === 0) {
-        this.#endVm(vm);
+        this.#terminateVm(vm);
         return;
       }
-      this.#time.schedule(check, PLAN_INTERVAL);
+      this.#time.schedule(terminateIfIdle, PLAN_INTERVAL_MS);
     };
-    this.#time.schedule(check, PLAN_INTERVAL);
+    this.#time.schedule(terminateIfIdle, PLAN_INTERVAL_MS);
   }
 
-  /** On-demand VMs stay when a zone's reclaimable ones are taken. */
-  #takeZone(zone: string): void {
-    if (this.#options.scenario.startsRefused) {
-      this.#refusedUntil = this.#time.now + REFUSED_FOR;
+  /** Reclaims all reclaimable VMs of a zone; its on-demand VMs keep running. */
+  #reclaimZone(zone: string): void {
+    if (this.#options.scenario.refusesVmStarts) {
+      this.#startsRefusedUntil = this.#time.now + START_REFUSAL_MS;
     }
     for (const vm of this.#vms.values()) {
       const { offer } = vm;
-      const taken = vm.isUp && offer.zone === zone &&
+      const isReclaimed = vm.isUp && offer.zone === zone &&
         offer.vmClass === "reclaimable";
-      if (taken) {
-        vm.announceLeave(NOTICE);
+      if (isReclaimed) {
+        vm.startDeparture(RECLAIM_NOTICE_MS);
         this.#announce(vm);
-        this.#time.schedule(() => this.#endVm(vm), NOTICE);
+        this.#time.schedule(() => this.#terminateVm(vm), RECLAIM_NOTICE_MS);
       }
     }
-    this.#plan({ startTime: START_TIME });
+    this.#plan({ startTime: VM_START_TIME_MS });
   }
 
-  #endVm(vm: SimulatedVm): void {
-    vm.end();
+  #terminateVm(vm: SimulatedVm): void {
+    vm.terminate();
     for (const entry of this.#entries) {
-      entry.breakStreams(vm.name);
+      entry.failAttempts(vm.name);
     }
     this.#time.schedule(() => {
       for (const entry of this.#entries) {
-        entry.lapse(vm.name);
+        entry.removeUpstream(vm.name);
       }
-    }, LAPSE_DELAY);
+    }, LEASE_EXPIRY_DELAY_MS);
   }
 }
--- a/packages/bench/policy/run_tasks.ts
+++ b/packages/bench/policy/run_tasks.ts
@@ -2,35 +2,36 @@
 import type { PolicyResult } from "./policy_result.ts";
 import type { PolicyTask } from "./policy_task.ts";
 
-/** A task with what it came to. */
 type FinishedTask = {
   readonly task: PolicyTask;
   readonly result: PolicyResult;
 };
 
-const WORKERS = 6;
+const WORKER_COUNT = 6;
 
-/** Runs all tasks on a few worker threads; results are in the tasks' order. */
+/**
+ * Runs all tasks on worker threads; the results are in the order of the tasks.
+ */
 export async function runTasks(
   tasks: readonly PolicyTask[],
   script: URL,
 ): Promise<FinishedTask[]> {
   const results: FinishedTask[] = [];
-  let next = 0;
-  const work = async () => {
+  let nextIndex = 0;
+  const runWorker = async () => {
     const worker = new Worker(script);
-    while (next < tasks.length) {
-      const place = next;
-      next += 1;
-      results[place] = await runOne(worker, tasks[place]!);
+    while (nextIndex < tasks.length) {
+      const index = nextIndex;
+      nextIndex += 1;
+      results[index] = await runTask(worker, tasks[index]!);
     }
     await worker.terminate();
   };
-  await Promise.all(Array.from({ length: WORKERS }, work));
+  await Promise.all(Array.from({ length: WORKER_COUNT }, runWorker));
   return results;
 }
 
-function runOne(worker: Worker, task: PolicyTask): Promise<FinishedTask> {
+function runTask(worker: Worker, task: PolicyTask): Promise<FinishedTask> {
   return new Promise((resolve, reject) => {
     worker.removeAllListeners();
     worker.once("message", resolve);
--- a/packages/bench/policy/simulated_entry.ts
+++ b/packages/bench/policy/simulated_entry.ts
@@ -26,37 +26,36 @@
 import type { SimulatedRequest } from "./simulated_request.ts";
 import type { SimulatedVm } from "./simulated_vm.ts";
 
-/** What a simulated entry is built from. */
-type EntryOptions = {
+type SimulatedEntryOptions = {
   readonly name: string;
   readonly policy: Policy;
   readonly time: VirtualTime;
   readonly outcomes: Outcomes;
   readonly findVm: (name: string) => SimulatedVm | undefined;
-  /** Reports all entries what a VM has cached. */
-  readonly onCached: (vm: SimulatedVm, blocks: string[]) => void;
-  /** Entries that share the VMs. */
+  /** Called with the prefix blocks that a VM caches. */
+  readonly onBlocksCached: (vm: SimulatedVm, blocks: string[]) => void;
+  /** Number of entries that share the VMs. */
   readonly entries: number;
 };
 
-/** One request at its entry. */
+/** A request that this entry owns, with the state of its current attempt. */
 type RunningRequest = {
   readonly request: SimulatedRequest;
   readonly owned: OwnedRequest;
   readonly routed: RoutedRequest;
-  firstAt: number;
-  lastAt: number;
+  firstTokenAt: number;
+  lastTokenAt: number;
   token: string;
   upstream: string;
-  /** Pieces of the present attempt. */
-  place: number;
-  /** When the first of them came. */
-  attemptFirstAt: number;
-  estimated: number;
+  /** Chunks received in the current attempt. */
+  chunkCount: number;
+  /** Arrival time of the first of these chunks. */
+  attemptFirstTokenAt: number;
+  estimatedFirstToken: number;
   dispatchedAt: number;
 };
 
-const VIEW = {
+const CONFIGURATION = {
   revision: 1,
   groups: {
     all: { name: "all", labels: {}, state: "serving" as const, share: 100 },
@@ -67,11 +66,11 @@
   limits: {},
   labels: {},
 };
-const POOL = { model: "assistant", service: "" };
-const DEADLINE = 30_000;
-const IDLE_TIMEOUT = 5000;
-const RETRY_PAUSE = 100;
-const MOST_ATTEMPTS = 40;
+const MODEL_POOL = { model: "assistant", service: "" };
+const DEADLINE_MS = 30_000;
+const IDLE_TIMEOUT_MS = 5000;
+const RETRY_DELAY_MS = 100;
+const MAX_ATTEMPTS = 40;
 const RECLAIM_RATES = {
   decodeInterval: 37,
   transferRate: 20_000,
@@ -79,28 +78,31 @@
   reserve: 300,
 };
 
-/** An entry in virtual time: the product's own parts, joined. */
+/**
+ * An entry in virtual time that runs the product's admission, routing and
+ * request state machines.
+ */
 export class SimulatedEntry {
-  readonly #options: EntryOptions;
+  readonly #options: SimulatedEntryOptions;
   readonly #router: Router;
   readonly #admission = new AdmissionController(ADMISSION_DEFAULTS);
-  readonly #budget = new RetryBudget(0.2);
+  readonly #retryBudget = new RetryBudget(0.2);
   readonly #queued = new Map<string, SimulatedRequest>();
   readonly #running = new Map<string, RunningRequest>();
 
-  constructor(options: EntryOptions) {
+  constructor(options: SimulatedEntryOptions) {
     this.#options = options;
     this.#router = new Router(ROUTING_DEFAULTS, {
       entry: options.name,
       hash: (text) =>
         createHash("sha1").update(text).digest().readUInt32BE(0) / 2 ** 32,
-      choose: options.policy.choose(),
+      choose: options.policy.createLoadBalancingPolicy(),
     });
-    this.#router.configure(VIEW);
+    this.#router.configure(CONFIGURATION);
     this.#router.setEntryCount(options.entries);
   }
 
-  get unfinished(): number {
+  get unfinishedCount(): number {
     return this.#running.size + this.#queued.size;
   }
 
@@ -108,13 +110,13 @@
     return this.#queued.size;
   }
 
-  receive(announcement: Announcement): void {
+  handleAnnouncement(announcement: Announcement): void {
     const { time } = this.#options;
     this.#router.updateUpstream(announcement, time.now);
     this.#refreshCapacity();
     if (announcement.state === "leaving") {
       for (const running of [...this.#running.values()]) {
-        this.#drive(running, {
+        this.#handleEvent(running, {
           kind: "upstream_leaving",
           upstream: announcement.name,
           reclaimIn: announcement.reclaimIn ?? 0,
@@ -123,21 +125,21 @@
     }
   }
 
-  lapse(name: string): void {
+  removeUpstream(name: string): void {
     this.#router.removeUpstream(name);
     this.#refreshCapacity();
   }
 
-  hearCache(name: string, sequence: number, blocks: string[]): void {
+  applyCacheEvent(name: string, sequence: number, blocks: string[]): void {
     this.#router.applyCacheEvent(name, { sequence, kind: "stored", blocks });
   }
 
-  /** The VM is gone; its streams break. */
-  breakStreams(name: string): void {
+  /** Fails the running attempts at a VM that was terminated. */
+  failAttempts(name: string): void {
     for (const running of [...this.#running.values()]) {
       if (running.upstream === name) {
         const attempt = running.owned.attempts;
-        this.#drive(running, {
+        this.#handleEvent(running, {
           kind: "attempt_failed",
           attempt,
           message: "the VM is gone",
@@ -153,7 +155,7 @@
       token: request.id,
       workspace: `workspace-${request.workspace}`,
       priority: request.priority,
-      deadlineAt: time.now + DEADLINE,
+      deadlineAt: time.now + DEADLINE_MS,
     }, time.now);
     if (decision.kind === "refused") {
       outcomes.refused += 1;
@@ -173,15 +175,15 @@
     this.#startNext();
     for (const running of [...this.#running.values()]) {
       if (running.owned.wakeAt <= time.now) {
-        this.#drive(running, { kind: "tick" });
+        this.#handleEvent(running, { kind: "tick" });
       }
     }
   }
 
   #refreshCapacity(): void {
     this.#admission.setCapacity(entryCapacity({
-      slots: this.#router.slotsFor(POOL),
-      freeSlots: this.#router.freeSlotsFor(POOL),
+      slots: this.#router.slotsFor(MODEL_POOL),
+      freeSlots: this.#router.freeSlotsFor(MODEL_POOL),
       running: this.#admission.running,
       entries: this.#options.entries,
     }));
@@ -210,8 +212,8 @@
       model: "assistant",
       body,
       priority: request.priority,
-      deadline: DEADLINE + 60_000,
-      promptTokens: request.words,
+      deadline: DEADLINE_MS + 60_000,
+      promptTokens: request.promptWords,
       epoch: 1,
       owner: name,
       standby: "",
@@ -220,10 +222,10 @@
         self: name,
         copyTimeout: 400,
         handOverTimeout: 2000,
-        idleTimeout: IDLE_TIMEOUT,
-        retryDelay: RETRY_PAUSE,
-        maxAttempts: MOST_ATTEMPTS,
-        chooseReclaimAction: policy.restarts
+        idleTimeout: IDLE_TIMEOUT_MS,
+        retryDelay: RETRY_DELAY_MS,
+        maxAttempts: MAX_ATTEMPTS,
+        chooseReclaimAction: policy.restartsFromScratch
           ? () => ReclaimAction.resume
           : createReclaimPolicy(RECLAIM_RATES),
       },
@@ -245,31 +247,31 @@
         service: "",
         method: "POST",
         path: "",
-        prefix: hashPrefixBlocks(request.prompt, chain),
-        promptTokens: request.words,
+        prefix: hashPrefixBlocks(request.prompt, hashBlock),
+        promptTokens: request.promptWords,
         exclude: [],
       },
-      firstAt: 0,
-      lastAt: 0,
+      firstTokenAt: 0,
+      lastTokenAt: 0,
       token: "",
       upstream: "",
-      place: 0,
-      attemptFirstAt: 0,
-      estimated: 0,
+      chunkCount: 0,
+      attemptFirstTokenAt: 0,
+      estimatedFirstToken: 0,
       dispatchedAt: 0,
     };
     this.#running.set(request.id, running);
-    this.#drive(running, { kind: "start" });
+    this.#handleEvent(running, { kind: "start" });
   }
 
-  #drive(running: RunningRequest, event: RequestEvent): void {
+  #handleEvent(running: RunningRequest, event: RequestEvent): void {
     const { time } = this.#options;
     for (const effect of running.owned.handle(event, time.now)) {
-      this.#carryOut(running, effect);
+      this.#applyEffect(running, effect);
     }
   }
 
-  #carryOut(running: RunningRequest, effect: RequestEffect): void {
+  #applyEffect(running: RunningRequest, effect: RequestEffect): void {
     switch (effect.kind) {
       case "route":
         this.#route(running, effect);
@@ -281,7 +283,7 @@
         this.#endAttempt(running, "neutral");
         return;
       case "emit":
-        this.#notePieces(running, effect.pieces.length);
+        this.#recordEmittedTokens(running, effect.pieces.length);
         return;
       case "finished":
         this.#endAttempt(running, "succeeded");
@@ -290,7 +292,7 @@
       case "failed":
         this.#endAttempt(running, "neutral");
         this.#options.outcomes.failed += 1;
-        this.#forget(running);
+        this.#release(running);
         return;
       default:
         return;
@@ -305,20 +307,23 @@
     this.#endAttempt(running, "failed");
     const isRetry = effect.exclude.length > 0;
     if (!isRetry) {
-      this.#budget.recordFirstAttempt();
+      this.#retryBudget.recordFirstAttempt();
     }
     const token = `${running.request.id}#${effect.attempt}`;
     const request = { ...running.routed, exclude: effect.exclude };
     const decision = this.#router.route(request, { token, now: time.now });
     if (decision.kind === "unroutable") {
-      this.#drive(running, { kind: "unroutable", attempt: effect.attempt });
+      this.#handleEvent(running, {
+        kind: "unroutable",
+        attempt: effect.attempt,
+      });
       return;
     }
     running.token = token;
     running.upstream = decision.choice.upstream;
-    running.estimated = decision.choice.estimatedFirstToken;
+    running.estimatedFirstToken = decision.choice.estimatedFirstToken;
     running.dispatchedAt = time.now;
-    this.#drive(running, {
+    this.#handleEvent(running, {
       kind: "routed",
       attempt: effect.attempt,
       upstream: decision.choice.upstream,
@@ -329,79 +334,81 @@
     running: RunningRequest,
     effect: Extract<RequestEffect, { kind: "dispatch" }>,
   ): void {
-    const { policy, outcomes, findVm, onCached } = this.#options;
+    const { policy, outcomes, findVm, onBlocksCached } = this.#options;
     const { attempt } = effect;
     const vm = findVm(effect.upstream);
     if (vm === undefined || !vm.isUp) {
       const message = "connection refused";
-      this.#drive(running, { kind: "attempt_failed", attempt, message });
+      this.#handleEvent(running, { kind: "attempt_failed", attempt, message });
       return;
     }
     const { request, token } = running;
-    const held = effect.pieces.length;
+    const existingCount = effect.pieces.length;
     const emitted = effect.pieces.map((piece) => piece.text).join("");
-    // From scratch, the pieces that exist are generated once more and dropped.
-    let skip = policy.restarts ? held : 0;
-    outcomes.recomputed += policy.restarts ? held : 0;
-    running.place = 0;
-    onCached(vm, [...running.routed.prefix]);
+    // A restart from scratch generates the emitted chunks again and drops them.
+    let tokensToSkip = policy.restartsFromScratch ? existingCount : 0;
+    outcomes.recomputedTokens += policy.restartsFromScratch ? existingCount : 0;
+    running.chunkCount = 0;
+    onBlocksCached(vm, [...running.routed.prefix]);
     vm.engine.submit({
       id: token,
       prompt: request.prompt,
-      text: policy.restarts ? request.prompt : request.prompt + emitted,
-      emitted: policy.restarts ? "" : emitted,
-      maxTokens: request.tokens - held + skip,
+      text: policy.restartsFromScratch
+        ? request.prompt
+        : request.prompt + emitted,
+      emitted: policy.restartsFromScratch ? "" : emitted,
+      maxTokens: request.tokens - existingCount + tokensToSkip,
       priority: 0,
       kvTransfer: findVm(effect.kvSource)?.isUp ?? false,
       onStart: (computed) => {
-        outcomes.computed += computed;
-        outcomes.recomputed += attempt > 1 ? computed : 0;
+        outcomes.prefillTokens += computed;
+        outcomes.recomputedTokens += attempt > 1 ? computed : 0;
       },
       onToken: (text) => {
-        if (skip > 0) {
-          skip -= 1;
+        if (tokensToSkip > 0) {
+          tokensToSkip -= 1;
           return;
         }
-        const place = running.place;
-        running.place += 1;
-        if (place === 0) {
-          running.attemptFirstAt = this.#options.time.now;
+        const index = running.chunkCount;
+        running.chunkCount += 1;
+        if (index === 0) {
+          running.attemptFirstTokenAt = this.#options.time.now;
         }
-        if (place > 0 && isTokenIntervalSample(place)) {
-          const taken = this.#options.time.now - running.attemptFirstAt;
-          this.#router.recordTokenInterval(running.upstream, taken / place);
+        if (index > 0 && isTokenIntervalSample(index)) {
+          const elapsed = this.#options.time.now - running.attemptFirstTokenAt;
+          this.#router.recordTokenInterval(running.upstream, elapsed / index);
         }
         const piece = { text, tokens: 1 };
-        this.#drive(running, {
+        this.#handleEvent(running, {
           kind: "piece",
           attempt,
-          position: place,
+          position: index,
           piece,
         });
       },
       onEnd: ({ reason }) =>
-        this.#drive(running, {
+        this.#handleEvent(running, {
           kind: "attempt_finished",
           attempt,
-          pieces: running.place,
+          pieces: running.chunkCount,
           reason,
         }),
     });
   }
 
-  #notePieces(running: RunningRequest, count: number): void {
+  #recordEmittedTokens(running: RunningRequest, count: number): void {
     const { time, outcomes } = this.#options;
-    for (let n = 0; n < count; n += 1) {
-      if (running.firstAt === 0) {
-        running.firstAt = time.now;
+    for (let index = 0; index < count; index += 1) {
+      if (running.firstTokenAt === 0) {
+        running.firstTokenAt = time.now;
         this.#router.recordFirstToken(running.upstream, {
           measured: time.now - running.dispatchedAt,
-          estimated: running.estimated,
+          estimated: running.estimatedFirstToken,
         });
       } else {
-        outcomes.piece(time.now - running.lastAt);
+        outcomes.recordTokenInterval(time.now - running.lastTokenAt);
       }
-      running.lastAt = time.now;
+      running.lastTokenAt = time.now;
     }
   }
 
@@ -422,16 +429,16 @@
   #finish(running: RunningRequest): void {
     const { outcomes } = this.#options;
     const { request, owned } = running;
-    const gaps = Math.max(1, owned.emittedCount - 1);
-    const firstAt = running.firstAt || this.#options.time.now;
-    outcomes.answer(request.workspace, {
-      firstToken: firstAt - request.at,
-      meanGap: (running.lastAt - firstAt) / gaps,
+    const intervalCount = Math.max(1, owned.emittedCount - 1);
+    const firstTokenAt = running.firstTokenAt || this.#options.time.now;
+    outcomes.recordResponse(request.workspace, {
+      firstToken: firstTokenAt - request.at,
+      meanTokenInterval: (running.lastTokenAt - firstTokenAt) / intervalCount,
     });
-    this.#forget(running);
+    this.#release(running);
   }
 
-  #forget(running: RunningRequest): void {
+  #release(running: RunningRequest): void {
     const { id } = running.request;
     this.#running.delete(id);
     this.#admission.release(id, this.#options.time.now);
@@ -439,6 +446,6 @@
   }
 }
 
-function chain(text: string, seed: string): string {
+function hashBlock(text: string, seed: string): string {
   return createHash("sha1").update(seed).update(text).digest("base64");
 }
--- a/packages/bench/policy/simulated_request.ts
+++ b/packages/bench/policy/simulated_request.ts
@@ -1,14 +1,15 @@
 import type { Priority } from "@heroncleat/schema";
 
-/** A request of the simulated callers. */
 export type SimulatedRequest = {
   readonly id: string;
   readonly workspace: number;
   readonly priority: Priority;
   readonly prompt: string;
-  /** Words of the prompt, which the engine counts as tokens. */
-  readonly words: number;
-  /** Tokens of the answer. */
+  /**
+   * Length of the prompt in words; the engine counts each word as one token.
+   */
+  readonly promptWords: number;
+  /** Length of the response in tokens. */
   readonly tokens: number;
   readonly at: number;
 };
--- a/packages/bench/policy/simulated_vm.ts
+++ b/packages/bench/policy/simulated_vm.ts
@@ -3,14 +3,14 @@
 import { ModelEngine } from "@heroncleat/stand_ins";
 import type { VirtualTime } from "../virtual_time.ts";
 
-const PREFILL_RATE = 4000;
-const DECODE_INTERVAL = 25;
-const TRANSFER_RATE = 20_000;
-const CACHE_BLOCKS = 500;
+const PREFILL_TOKENS_PER_SECOND = 4000;
+const DECODE_INTERVAL_MS = 25;
+const TRANSFER_TOKENS_PER_SECOND = 20_000;
+const CACHE_CAPACITY_BLOCKS = 500;
 const BATCH_SLOWDOWN = 0.5;
 const MS_PER_HOUR = 3_600_000;
 
-/** A VM with a model engine, in virtual time. */
+/** A VM that runs a model engine, in virtual time. */
 export class SimulatedVm {
   readonly name: string;
   readonly offer: Offer;
@@ -21,23 +21,23 @@
   cacheSequence = 0;
   #heldUntil: number | undefined;
   #sequence = 0;
-  #leaveAt = 0;
+  #reclaimAt = 0;
 
   constructor(
     name: string,
-    options: { offer: Offer; time: VirtualTime; slowness: number },
+    options: { offer: Offer; time: VirtualTime; decodeSlowdown: number },
   ) {
-    const { offer, time, slowness } = options;
+    const { offer, time, decodeSlowdown } = options;
     this.name = name;
     this.offer = offer;
     this.#time = time;
     this.#heldFrom = time.now;
     this.engine = new ModelEngine({
       slots: offer.slots,
-      prefillRate: PREFILL_RATE,
-      decodeInterval: DECODE_INTERVAL * slowness,
-      transferRate: TRANSFER_RATE,
-      cacheBlocks: CACHE_BLOCKS,
+      prefillRate: PREFILL_TOKENS_PER_SECOND,
+      decodeInterval: DECODE_INTERVAL_MS * decodeSlowdown,
+      transferRate: TRANSFER_TOKENS_PER_SECOND,
+      cacheBlocks: CACHE_CAPACITY_BLOCKS,
       salt: "policy",
       batchSlowdown: BATCH_SLOWDOWN,
     }, (action, delay) => time.schedule(action, delay));
@@ -52,12 +52,12 @@
     return { name: this.name, state, ...this.offer };
   }
 
-  announceLeave(notice: number): void {
+  startDeparture(notice: number): void {
     this.state = "leaving";
-    this.#leaveAt = this.#time.now + notice;
+    this.#reclaimAt = this.#time.now + notice;
   }
 
-  end(): void {
+  terminate(): void {
     this.state = "gone";
     this.#heldUntil ??= this.#time.now;
   }
@@ -67,7 +67,7 @@
     return (until - this.#heldFrom) / MS_PER_HOUR * this.offer.price;
   }
 
-  announce(): Announcement {
+  createAnnouncement(): Announcement {
     this.#sequence += 1;
     return {
       name: this.name,
@@ -82,12 +82,13 @@
       labels: {},
       checksFencing: true,
       slots: this.offer.slots,
-      prefillRate: PREFILL_RATE,
-      // An engine doesn't know that it is slow; the entry has to find out.
-      decodeInterval: DECODE_INTERVAL,
+      prefillRate: PREFILL_TOKENS_PER_SECOND,
+      // A slow engine announces the nominal interval; entries detect the
+      // slowdown themselves.
+      decodeInterval: DECODE_INTERVAL_MS,
       state: this.state === "leaving" ? "leaving" : "serving",
       ...this.state === "leaving"
-        ? { reclaimIn: Math.max(0, this.#leaveAt - this.#time.now) }
+        ? { reclaimIn: Math.max(0, this.#reclaimAt - this.#time.now) }
         : {},
       load: {
         running: this.engine.running,
--- a/packages/bench/policy/workload.ts
+++ b/packages/bench/policy/workload.ts
@@ -1,19 +1,19 @@
 import type { Priority } from "@heroncleat/schema";
 
-/** What one customer's callers send. */
+/** Request rate, sizes and mix of one group of callers. */
 export type Workload = {
   readonly name: string;
-  /** Requests a second in calm times. */
+  /** Base request rate, in requests per second. */
   readonly rate: number;
-  /** Different beginnings of prompts in each workspace: restaurants, members. */
-  readonly prefixes: number;
-  /** Words of one beginning. */
-  readonly sharedWords: number;
-  /** Words of each prompt's own. */
-  readonly ownWords: number;
-  readonly leastTokens: number;
-  readonly mostTokens: number;
+  /** Number of shared prompt prefixes in each workspace. */
+  readonly prefixCount: number;
+  /** Length of a shared prefix in words. */
+  readonly prefixWords: number;
+  /** Length of the rest of each prompt in words. */
+  readonly uniqueWords: number;
+  readonly minTokens: number;
+  readonly maxTokens: number;
   readonly priorities: readonly Priority[];
-  /** Share of the requests that each of five workspaces sends. */
+  /** Share of the requests that each workspace sends, from 0 to 1. */
   readonly shares: readonly number[];
 };
--- a/packages/bench/report/format_table.ts
+++ b/packages/bench/report/format_table.ts
@@ -1,4 +1,4 @@
-/** Lays out rows of numbers and names under headings, as Markdown. */
+/** Formats rows of numbers and names as a Markdown table. */
 export function formatTable(
   headings: readonly string[],
   rows: readonly (readonly (string | number)[])[],
--- a/packages/bench/slopes/ledger_slope.ts
+++ b/packages/bench/slopes/measure_ledger.ts
@@ -1,30 +1,30 @@
 import { createToken } from "@heroncleat/base";
 import { Ledger } from "@heroncleat/ledger";
 
-/** What claims cost a replica. */
+/** Costs of claims at a control replica. */
 type LedgerCost = {
-  readonly bytesEach: number;
-  readonly microsecondsEach: number;
+  readonly bytesPerClaim: number;
+  readonly microsecondsPerClaim: number;
   readonly snapshotMilliseconds: number;
 };
 
 const OUTCOME = { status: 200, contentType: "application/json", body: "" };
 
-/** Claims and resolves a number of keys and measures time and memory. */
-export function measureLedger(claims: number): LedgerCost {
-  const before = heapUsed();
+/** Claims and resolves a number of keys and measures the time and memory. */
+export function measureLedger(claimCount: number): LedgerCost {
+  const before = readHeapBytes();
   const ledger = new Ledger();
   const startedAt = performance.now();
-  for (let place = 0; place < claims; place += 1) {
+  for (let index = 0; index < claimCount; index += 1) {
     const key = createToken();
     const attempt = createToken();
-    const common = { workspace: "bistro", key, attempt, at: place };
+    const common = { workspace: "bistro", key, attempt, at: index };
     ledger.claim({
       kind: "claim",
       ...common,
       digest: createToken(),
       owner: "entry-1",
-      deadline: place + 60_000,
+      deadline: index + 60_000,
     });
     ledger.resolve({
       kind: "resolve",
@@ -33,18 +33,18 @@
       outcome: OUTCOME,
     });
   }
-  const taken = performance.now() - startedAt;
-  const bytesEach = (heapUsed() - before) / claims;
+  const elapsed = performance.now() - startedAt;
+  const bytesPerClaim = (readHeapBytes() - before) / claimCount;
   const snapshotAt = performance.now();
   JSON.stringify(ledger.state);
   return {
-    bytesEach,
-    microsecondsEach: taken / claims * 1000,
+    bytesPerClaim,
+    microsecondsPerClaim: elapsed / claimCount * 1000,
     snapshotMilliseconds: performance.now() - snapshotAt,
   };
 }
 
-function heapUsed(): number {
+function readHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
--- a/packages/bench/slopes/membership_slope.ts
+++ b/packages/bench/slopes/measure_membership.ts
@@ -2,42 +2,45 @@
 import { Membership, type MembershipEffect } from "@heroncleat/membership";
 import type { Announcement } from "@heroncleat/schema";
 
-/** What membership costs each entry. */
+/** Costs of the membership protocol for each entry. */
 type MembershipCost = {
   readonly bytesPerSecond: number;
   readonly messagesPerSecond: number;
   readonly cpuPercent: number;
 };
 
-const SECONDS = 10;
+const MEASURED_SECONDS = 10;
 const SETTLE_SECONDS = 6;
-const STEP = 25;
-const ANNOUNCE_INTERVAL = 500;
-/** Frame header, JSON-RPC envelope. */
+const STEP_MS = 25;
+const ANNOUNCE_INTERVAL_MS = 500;
+/** Size of the frame header and the JSON-RPC envelope. */
 const ENVELOPE_BYTES = 70;
 
-/** Runs entries with upstreams in virtual time and counts what they send. */
+/**
+ * Runs entries and upstreams in virtual time and measures the membership
+ * traffic.
+ */
 export function measureMembership(
   entries: number,
   upstreams: number,
 ): MembershipCost {
-  const group = new MeasuredGroup(entries, upstreams);
+  const group = new SimulatedGroup(entries, upstreams);
   group.run(SETTLE_SECONDS);
   group.bytes = 0;
   group.messages = 0;
   const before = process.cpuUsage();
-  group.run(SECONDS);
+  group.run(MEASURED_SECONDS);
   const used = process.cpuUsage(before);
-  const share = 1 / entries / SECONDS;
+  const perEntrySecond = 1 / entries / MEASURED_SECONDS;
   return {
-    bytesPerSecond: group.bytes * share,
-    messagesPerSecond: group.messages * share,
-    cpuPercent: (used.user + used.system) / 1e6 * share * 100,
+    bytesPerSecond: group.bytes * perEntrySecond,
+    messagesPerSecond: group.messages * perEntrySecond,
+    cpuPercent: (used.user + used.system) / 1e6 * perEntrySecond * 100,
   };
 }
 
-/** Entries in one process; messages arrive at once. */
-class MeasuredGroup {
+/** Entries in one process; messages are delivered without delay. */
+class SimulatedGroup {
   readonly #entries = new Map<string, Membership>();
   readonly #upstreams: number;
   bytes = 0;
@@ -48,15 +51,15 @@
 
   constructor(entries: number, upstreams: number) {
     this.#upstreams = upstreams;
-    for (let place = 0; place < entries; place += 1) {
-      const name = `entry-${place}`;
+    for (let index = 0; index < entries; index += 1) {
+      const name = `entry-${index}`;
       this.#entries.set(
         name,
         new Membership({
           name,
           address: name,
           callerAddress: `${name}:7000`,
-          zone: `zone-${place % 14}`,
+          zone: `zone-${index % 14}`,
           incarnation: 1,
           seeds: ["entry-0", "entry-1", "entry-2"],
           probeInterval: 400,
@@ -68,7 +71,7 @@
           syncInterval: 2000,
           retention: 60_000,
           newsFanout: 64,
-        }, createSeededRandom(place + 1)),
+        }, createSeededRandom(index + 1)),
       );
     }
   }
@@ -76,12 +79,12 @@
   run(seconds: number): void {
     const until = this.#now + seconds * 1000;
     while (this.#now < until) {
-      this.#now += STEP;
-      if (this.#now % ANNOUNCE_INTERVAL === 0) {
+      this.#now += STEP_MS;
+      if (this.#now % ANNOUNCE_INTERVAL_MS === 0) {
         this.#announceAll();
       }
       for (const membership of this.#entries.values()) {
-        this.#take(membership.handle({ kind: "tick" }, this.#now));
+        this.#applyEffects(membership.handle({ kind: "tick" }, this.#now));
       }
       this.#deliver();
     }
@@ -90,17 +93,19 @@
   #announceAll(): void {
     this.#sequence += 1;
     const entries = [...this.#entries.values()];
-    for (let place = 0; place < this.#upstreams; place += 1) {
-      const home = entries[place % entries.length]!;
-      const announcement = describeUpstream(place, this.#sequence);
-      this.#take(home.handle({ kind: "announce", announcement }, this.#now));
+    for (let index = 0; index < this.#upstreams; index += 1) {
+      const reporter = entries[index % entries.length]!;
+      const announcement = createAnnouncement(index, this.#sequence);
+      this.#applyEffects(
+        reporter.handle({ kind: "announce", announcement }, this.#now),
+      );
     }
   }
 
-  #take(effects: readonly MembershipEffect[]): void {
+  #applyEffects(effects: readonly MembershipEffect[]): void {
     for (const effect of effects) {
       if (effect.kind === "send") {
-        // Coding the message is part of its cost.
+        // Encoding a message counts towards its processor time.
         const text = JSON.stringify(effect.message);
         this.bytes += text.length + ENVELOPE_BYTES;
         this.messages += 1;
@@ -116,21 +121,23 @@
       for (const { to, text } of queue) {
         const message = JSON.parse(text);
         const target = this.#entries.get(to)!;
-        this.#take(target.handle({ kind: "message", message }, this.#now));
+        this.#applyEffects(
+          target.handle({ kind: "message", message }, this.#now),
+        );
       }
     }
   }
 }
 
-function describeUpstream(place: number, sequence: number): Announcement {
+function createAnnouncement(index: number, sequence: number): Announcement {
   return {
-    name: `engine-${place}`,
-    address: `10.0.0.${place % 250}:8000`,
+    name: `engine-${index}`,
+    address: `10.0.0.${index % 250}:8000`,
     incarnation: 1,
     sequence,
     kind: "model_engine",
     models: ["assistant"],
-    zone: `zone-${place % 14}`,
+    zone: `zone-${index % 14}`,
     vmClass: "reclaimable",
     price: 1,
     labels: { place: "new" },
--- a/packages/bench/slopes/request_slope.ts
+++ b/packages/bench/slopes/measure_requests.ts
@@ -5,57 +5,66 @@
 } from "@heroncleat/requests";
 import type { RequestRecord } from "@heroncleat/schema";
 
-/** What an accepted request costs its two holders, without sockets. */
+/**
+ * Costs of an accepted request at its owner and its standby, without sockets.
+ */
 type RequestCost = {
-  readonly microsecondsPerPiece: number;
-  readonly bytesEach: number;
-  readonly copyBytesPerPiece: number;
+  readonly microsecondsPerChunk: number;
+  readonly bytesPerRequest: number;
+  readonly copyBytesPerChunk: number;
 };
 
-const PIECES = 60;
+const CHUNKS_PER_REQUEST = 60;
 
-/** Runs a number of requests at once through owner and standby. */
+/**
+ * Runs concurrent requests through an owner and its standby and measures the
+ * costs.
+ */
 export function measureRequests(requests: number): RequestCost {
-  const before = heapUsed();
+  const before = readHeapBytes();
   const standby = new StandbyStore("entry-2", 60_000);
   const owned = Array.from(
     { length: requests },
-    (_, place) => createOwned(place),
+    (_, index) => createOwnedRequest(index),
   );
   let bytes = 0;
   const startedAt = performance.now();
   for (const request of owned) {
-    bytes += drive(request, standby, { kind: "start" });
-    bytes += drive(request, standby, {
+    bytes += handleAndCopy(request, standby, { kind: "start" });
+    bytes += handleAndCopy(request, standby, {
       kind: "routed",
       attempt: 1,
       upstream: "engine-1",
     });
   }
-  for (let place = 0; place < PIECES; place += 1) {
+  for (let index = 0; index < CHUNKS_PER_REQUEST; index += 1) {
     for (const request of owned) {
       const piece = { text: " word", tokens: 1 };
-      bytes += drive(request, standby, {
+      bytes += handleAndCopy(request, standby, {
         kind: "piece",
         attempt: 1,
-        position: place,
+        position: index,
         piece,
       });
     }
   }
-  const taken = performance.now() - startedAt;
-  const heap = heapUsed() - before;
-  // Both holders are counted, so both must still be alive here.
-  const held = Math.max(1, Math.min(owned.length, standby.size));
+  const elapsed = performance.now() - startedAt;
+  const heap = readHeapBytes() - before;
+  // Keeps both the owner and the standby reachable until their memory is
+  // measured.
+  const heldCount = Math.max(1, Math.min(owned.length, standby.size));
   return {
-    microsecondsPerPiece: taken / requests / PIECES * 1000,
-    bytesEach: heap / held,
-    copyBytesPerPiece: bytes / requests / PIECES,
+    microsecondsPerChunk: elapsed / requests / CHUNKS_PER_REQUEST * 1000,
+    bytesPerRequest: heap / heldCount,
+    copyBytesPerChunk: bytes / requests / CHUNKS_PER_REQUEST,
   };
 }
 
-/** Handles an event and answers its copies; returns the bytes copied. */
-function drive(
+/**
+ * Handles an event, applies its copies at the standby, and returns the bytes
+ * copied.
+ */
+function handleAndCopy(
   request: OwnedRequest,
   standby: StandbyStore,
   event: Parameters<OwnedRequest["handle"]>[0],
@@ -69,14 +78,18 @@
     bytes += text.length;
     const reply = standby.applyCopy(JSON.parse(text), 1);
     const { number } = effect;
-    bytes += drive(request, standby, { kind: "copy_answered", number, reply });
+    bytes += handleAndCopy(request, standby, {
+      kind: "copy_answered",
+      number,
+      reply,
+    });
   }
   return bytes;
 }
 
-function createOwned(place: number): OwnedRequest {
+function createOwnedRequest(index: number): OwnedRequest {
   const record: RequestRecord = {
-    id: `entry-1~entry-2~${String(place).padStart(32, "0")}`,
+    id: `entry-1~entry-2~${String(index).padStart(32, "0")}`,
     workspace: "bureau",
     kind: "chat",
     stream: true,
@@ -109,7 +122,7 @@
   });
 }
 
-function heapUsed(): number {
+function readHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
--- a/packages/bench/slopes/routing_slope.ts
+++ b/packages/bench/slopes/measure_routing.ts
@@ -1,22 +1,27 @@
 import { createHash } from "node:crypto";
 import { Router, ROUTING_DEFAULTS } from "@heroncleat/routing";
 
-/** What routing costs with a number of upstreams. */
+/** Costs of routing with a number of upstreams. */
 type RoutingCost = {
-  readonly microsecondsEach: number;
-  readonly kilobytesEach: number;
+  readonly microsecondsPerRequest: number;
+  readonly kilobytesPerUpstream: number;
 };
 
-const REQUESTS = 5000;
-const PREFIX_BLOCKS = 32;
+const REQUEST_COUNT = 5000;
+const PREFIX_BLOCK_COUNT = 32;
 
-/** Routes requests over a number of upstreams and times it. */
+/**
+ * Routes requests to a number of upstreams and measures the time and memory.
+ */
 export function measureRouting(upstreams: number): RoutingCost {
-  const before = heapUsed();
+  const before = readHeapBytes();
   const router = createRouter(upstreams);
-  const prefix = Array.from({ length: PREFIX_BLOCKS }, (_, n) => `block-${n}`);
-  const route = (place: number) => {
-    const token = `t${place}`;
+  const prefix = Array.from(
+    { length: PREFIX_BLOCK_COUNT },
+    (_, n) => `block-${n}`,
+  );
+  const route = (index: number) => {
+    const token = `t${index}`;
     const decision = router.route({
       id: token,
       workspace: "bench",
@@ -27,27 +32,27 @@
       prefix,
       promptTokens: 1000,
       exclude: [],
-    }, { token, now: place });
+    }, { token, now: index });
     if (decision.kind === "chosen") {
       const { upstream } = decision.choice;
       router.recordEnd(upstream, {
         token,
         outcome: "succeeded",
-        now: place + 1,
+        now: index + 1,
       });
     }
   };
-  for (let place = 0; place < REQUESTS / 10; place += 1) {
-    route(place);
+  for (let index = 0; index < REQUEST_COUNT / 10; index += 1) {
+    route(index);
   }
   const startedAt = performance.now();
-  for (let place = 0; place < REQUESTS; place += 1) {
-    route(REQUESTS + place);
+  for (let index = 0; index < REQUEST_COUNT; index += 1) {
+    route(REQUEST_COUNT + index);
   }
-  const taken = performance.now() - startedAt;
+  const elapsed = performance.now() - startedAt;
   return {
-    microsecondsEach: taken / REQUESTS * 1000,
-    kilobytesEach: (heapUsed() - before) / 1024 / upstreams,
+    microsecondsPerRequest: elapsed / REQUEST_COUNT * 1000,
+    kilobytesPerUpstream: (readHeapBytes() - before) / 1024 / upstreams,
   };
 }
 
@@ -64,10 +69,10 @@
     limits: {},
     labels: {},
   });
-  for (let place = 0; place < upstreams; place += 1) {
+  for (let index = 0; index < upstreams; index += 1) {
     router.updateUpstream({
-      name: `engine-${place}`,
-      address: `engine-${place}:1`,
+      name: `engine-${index}`,
+      address: `engine-${index}:1`,
       incarnation: 1,
       sequence: 1,
       kind: "model_engine",
@@ -87,7 +92,7 @@
   return router;
 }
 
-function heapUsed(): number {
+function readHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
--- a/packages/bench/slopes/report_slopes.ts
+++ b/packages/bench/slopes/report_slopes.ts
@@ -1,20 +1,23 @@
 import { formatTable } from "../report/format_table.ts";
-import { measureCrashes } from "./crash_slope.ts";
-import { measureExchange } from "./exchange_slope.ts";
-import { measureLedger } from "./ledger_slope.ts";
-import { measureMembership } from "./membership_slope.ts";
-import { measureRequests } from "./request_slope.ts";
-import { measureRouting } from "./routing_slope.ts";
+import { measureSuspects } from "./measure_suspects.ts";
+import { measureExchange } from "./measure_exchange.ts";
+import { measureLedger } from "./measure_ledger.ts";
+import { measureMembership } from "./measure_membership.ts";
+import { measureRequests } from "./measure_requests.ts";
+import { measureRouting } from "./measure_routing.ts";
 
-/** Entries and upstreams that membership is run with. */
-const GROUPS = [[12, 16], [24, 32], [48, 64], [96, 128]] as const;
-const UPSTREAMS_AT_TWELVE = [16, 64, 256] as const;
-const ROUTED_UPSTREAMS = [16, 64, 580, 5800] as const;
-const SUSPECTS = [0, 10, 100, 1000] as const;
-const CLAIMS = [10_000, 50_000, 200_000] as const;
-const REQUESTS = [100, 1000, 4000] as const;
+/** Numbers of entries and upstreams in the membership benchmark. */
+const GROUP_SIZES = [[12, 16], [24, 32], [48, 64], [96, 128]] as const;
+const TWELVE_ENTRY_UPSTREAM_COUNTS = [16, 64, 256] as const;
+const ROUTED_UPSTREAM_COUNTS = [16, 64, 580, 5800] as const;
+const SUSPECT_COUNTS = [0, 10, 100, 1000] as const;
+const CLAIM_COUNTS = [10_000, 50_000, 200_000] as const;
+const REQUEST_COUNTS = [100, 1000, 4000] as const;
 
-/** Measures what grows, at several sizes; docs/CAPACITY.md builds on it. */
+/**
+ * Measures costs that grow with deployment size; docs/CAPACITY.md uses the
+ * figures.
+ */
 export function reportSlopes(print: (text: string) => void): void {
   print("### Exchange of state, one process of each role\n");
   print(formatTable(
@@ -33,8 +36,10 @@
   print(formatTable(
     ["entries", "upstreams", "bytes/s", "messages/s", "% of a core"],
     [
-      ...GROUPS,
-      ...UPSTREAMS_AT_TWELVE.slice(1).map((count) => [12, count] as const),
+      ...GROUP_SIZES,
+      ...TWELVE_ENTRY_UPSTREAM_COUNTS.slice(1).map((count) =>
+        [12, count] as const
+      ),
     ].map(([entries, upstreams]) => {
       const cost = measureMembership(entries, upstreams);
       return [
@@ -49,34 +54,34 @@
   print("\n### Routing, subsets of 64\n");
   print(formatTable(
     ["upstreams", "µs a request", "KB an upstream"],
-    ROUTED_UPSTREAMS.map((count) => {
+    ROUTED_UPSTREAM_COUNTS.map((count) => {
       const cost = measureRouting(count);
-      return [count, cost.microsecondsEach, cost.kilobytesEach];
+      return [count, cost.microsecondsPerRequest, cost.kilobytesPerUpstream];
     }),
   ));
   print("\n### Requests under which upstreams ended\n");
   print(formatTable(
     ["suspects", "ns unlike", "µs alike", "ms to judge", "KB in whole"],
-    SUSPECTS.map((count) => {
-      const cost = measureCrashes(count);
+    SUSPECT_COUNTS.map((count) => {
+      const cost = measureSuspects(count);
       return [
         count,
-        cost.nanosecondsUnlike,
-        cost.microsecondsAlike,
-        cost.judgeMilliseconds,
-        cost.wholeKilobytes,
+        cost.sizeMissNanoseconds,
+        cost.sizeMatchMicroseconds,
+        cost.assessMilliseconds,
+        cost.fullReportKilobytes,
       ];
     }),
   ));
   print("\n### Ledger, claimed and resolved\n");
   print(formatTable(
     ["claims", "bytes each", "µs each", "snapshot ms"],
-    CLAIMS.map((count) => {
+    CLAIM_COUNTS.map((count) => {
       const cost = measureLedger(count);
       return [
         count,
-        cost.bytesEach,
-        cost.microsecondsEach,
+        cost.bytesPerClaim,
+        cost.microsecondsPerClaim,
         cost.snapshotMilliseconds,
       ];
     }),
@@ -84,13 +89,13 @@
   print("\n### Requests with a standby, without sockets\n");
   print(formatTable(
     ["at once", "µs a piece", "bytes a request", "copied bytes a piece"],
-    REQUESTS.map((count) => {
+    REQUEST_COUNTS.map((count) => {
       const cost = measureRequests(count);
       return [
         count,
-        cost.microsecondsPerPiece,
-        cost.bytesEach,
-        cost.copyBytesPerPiece,
+        cost.microsecondsPerChunk,
+        cost.bytesPerRequest,
+        cost.copyBytesPerChunk,
       ];
     }),
   ));
--- a/packages/bench/slopes/simulated_exchange.ts
+++ b/packages/bench/slopes/simulated_exchange.ts
@@ -14,30 +14,30 @@
 } from "@heroncleat/serving";
 
 const STEP: Milliseconds = 10;
-/** Pause between two heartbeats of an upstream. */
-const HEARTBEAT: Milliseconds = 1200;
+const HEARTBEAT_INTERVAL: Milliseconds = 1200;
 const EXPIRE_INTERVAL: Milliseconds = 1000;
 const USAGE_WINDOW: Milliseconds = 5000;
-/** Tokens that a request is charged. */
-const CHARGE = 4000;
-/** Requests under way that an entry reports of one upstream. */
-const MOST_UNDER_WAY = 3;
-/** Upstreams at which one entry has something under way. */
-const USED_UPSTREAMS = 4;
+/** Tokens charged per request. */
+const CHARGE_TOKENS = 4000;
+/**
+ * Maximum number of in-flight requests that an entry reports for one upstream.
+ */
+const MAX_IN_FLIGHT = 3;
+/** Number of upstreams at which one entry has requests in flight. */
+const USED_UPSTREAM_COUNT = 4;
 
-/** What an exchange is simulated with. */
 type ExchangeOptions = {
   readonly entries: number;
   readonly upstreams: number;
   readonly workspaces: number;
-  /** Requests that all entries together take in a second. */
+  /** Request rate of all entries together. */
   readonly requestsPerSecond: number;
-  /** Pause between two exchanges of one entry. */
-  readonly pause: Milliseconds;
+  /** Interval between two exchanges of one entry. */
+  readonly interval: Milliseconds;
 };
 
-/** Work and bytes since the last count. */
-type Spent = {
+/** Processor time and bytes since the last reading. */
+type ExchangeUsage = {
   replicaSeconds: number;
   entrySeconds: number;
   replyBytes: number;
@@ -45,7 +45,7 @@
   calls: number;
 };
 
-/** One entry: what it reports, and what it does with a reply. */
+/** State that an entry reports in an exchange or updates from its replies. */
 type SimulatedEntry = {
   readonly name: string;
   boot: number;
@@ -55,90 +55,93 @@
   loadsSince: number;
   report: CounterReport;
   documentVersion: number;
-  nextAt: Milliseconds;
+  nextExchangeAt: Milliseconds;
   spent: Record<string, number>;
   usage: Record<string, Record<string, number>>;
   readWork: number;
   directory: UpstreamDirectory;
-  choice: UpstreamBalancer;
+  balancer: UpstreamBalancer;
   quota: WorkspaceQuota;
 };
 
 /**
- * One control replica and all entries that exchange state with it, by the real
- * state machines in virtual time. Coding and decoding of messages count;
- * sockets don't.
+ * Runs the state machines of one control replica and of the entries that
+ * exchange state with it, in virtual time. The measured processor time includes
+ * encoding and decoding messages, but no sockets.
  */
 export class SimulatedExchange {
   readonly #options: ExchangeOptions;
   readonly #random: Random = createSeededRandom(7);
   readonly #entries: SimulatedEntry[];
   #hub = new Hub("feed-1");
-  #feeds = 1;
+  #feedCount = 1;
   #sequence = 0;
-  #version = 1;
+  #documentVersion = 1;
   #now = 0;
-  #owed = 0;
-  #spent = nothingSpent();
+  #pendingRequests = 0;
+  #usage = createEmptyUsage();
 
   constructor(options: ExchangeOptions) {
     this.#options = options;
     this.#entries = Array.from(
       { length: options.entries },
-      (_, place) => this.#createEntry(place),
+      (_, index) => this.#createEntry(index),
     );
   }
 
-  /** Lets time pass; every step may be given something to do. */
-  run(milliseconds: Milliseconds, eachStep: () => void = () => {}): void {
+  /** Advances the simulated time; `onStep` runs at every step. */
+  run(milliseconds: Milliseconds, onStep: () => void = () => {}): void {
     const until = this.#now + milliseconds;
     while (this.#now < until) {
       this.#now += STEP;
-      eachStep();
+      onStep();
       this.#serveCallers();
       this.#sendHeartbeats();
       if (this.#now % EXPIRE_INTERVAL === 0) {
-        this.#ofReplica(() => this.#hub.expire(this.#now));
+        this.#timeReplica(() => this.#hub.expire(this.#now));
       }
       for (const entry of this.#entries) {
-        if (entry.nextAt <= this.#now) {
-          entry.nextAt += this.#options.pause;
+        if (entry.nextExchangeAt <= this.#now) {
+          entry.nextExchangeAt += this.#options.interval;
           this.#exchange(entry);
         }
       }
     }
   }
 
-  /** What was spent since the last call. */
-  take(): Spent {
-    const spent = this.#spent;
-    this.#spent = nothingSpent();
-    return spent;
+  /** Returns the usage since the last call and resets it. */
+  takeUsage(): ExchangeUsage {
+    const usage = this.#usage;
+    this.#usage = createEmptyUsage();
+    return usage;
   }
 
-  /** Starts all entries anew within a time. */
+  /** Restarts all entries at even intervals within a time. */
   restartEntries(within: Milliseconds): void {
-    for (const [place, entry] of this.#entries.entries()) {
-      const at = this.#now + within * place / this.#entries.length;
+    for (const [index, entry] of this.#entries.entries()) {
+      const at = this.#now + within * index / this.#entries.length;
       this.#restart(entry, at);
     }
   }
 
-  /** Loses the replica's memory, too, as where all power goes. */
-  losePower(within: Milliseconds): void {
-    this.#feeds += 1;
-    this.#hub = new Hub(`feed-${this.#feeds}`);
+  /**
+   * Restarts the control replica without its state, and all entries, as after a
+   * power failure.
+   */
+  restartDeployment(within: Milliseconds): void {
+    this.#feedCount += 1;
+    this.#hub = new Hub(`feed-${this.#feedCount}`);
     this.restartEntries(within);
   }
 
-  /** Puts a new document in force. */
+  /** Activates a new version of the configuration document. */
   changeDocument(): void {
-    this.#version += 1;
+    this.#documentVersion += 1;
   }
 
-  #createEntry(place: number): SimulatedEntry {
+  #createEntry(index: number): SimulatedEntry {
     return {
-      name: `entry-${place}`,
+      name: `entry-${index}`,
       boot: 1,
       isOpen: true,
       feed: "",
@@ -146,7 +149,7 @@
       loadsSince: 0,
       report: new CounterReport(),
       documentVersion: -1,
-      nextAt: this.#options.pause * place / this.#options.entries,
+      nextExchangeAt: this.#options.interval * index / this.#options.entries,
       spent: {},
       usage: {},
       readWork: 0,
@@ -157,7 +160,7 @@
   #createState() {
     return {
       directory: new UpstreamDirectory(),
-      choice: new UpstreamBalancer(),
+      balancer: new UpstreamBalancer(),
       quota: new WorkspaceQuota({
         isFresh: true,
         window: 8000,
@@ -176,7 +179,7 @@
       loadsSince: 0,
       report: new CounterReport(),
       documentVersion: -1,
-      nextAt: at,
+      nextExchangeAt: at,
       spent: {},
       usage: {},
       readWork: 0,
@@ -186,39 +189,44 @@
 
   #serveCallers(): void {
     const { requestsPerSecond, workspaces } = this.#options;
-    this.#owed += requestsPerSecond * STEP / 1000;
-    for (; this.#owed >= 1; this.#owed -= 1) {
-      const place = Math.floor(this.#random() * this.#entries.length);
-      const entry = this.#entries[place]!;
-      // Few workspaces make most of the load.
+    this.#pendingRequests += requestsPerSecond * STEP / 1000;
+    for (; this.#pendingRequests >= 1; this.#pendingRequests -= 1) {
+      const index = Math.floor(this.#random() * this.#entries.length);
+      const entry = this.#entries[index]!;
+      // Squaring skews the load towards the first workspaces.
       const workspace = `workspace-${
         Math.floor(this.#random() ** 2 * workspaces)
       }`;
       const window = String(Math.floor(this.#now / USAGE_WINDOW));
       const counts = entry.usage[window] ??= {};
       counts[workspace] = (counts[workspace] ?? 0) + 1;
-      entry.spent[workspace] = (entry.spent[workspace] ?? 0) + CHARGE;
+      entry.spent[workspace] = (entry.spent[workspace] ?? 0) + CHARGE_TOKENS;
       entry.readWork += 60;
     }
   }
 
-  /** Each upstream's heartbeat comes once in its interval, one by one. */
+  /**
+   * Sends one heartbeat per upstream and interval, spread evenly over the
+   * interval.
+   */
   #sendHeartbeats(): void {
     const { upstreams } = this.#options;
-    const before = Math.floor((this.#now - STEP) * upstreams / HEARTBEAT);
-    const until = Math.floor(this.#now * upstreams / HEARTBEAT);
-    for (let place = before; place < until; place += 1) {
+    const before = Math.floor(
+      (this.#now - STEP) * upstreams / HEARTBEAT_INTERVAL,
+    );
+    const until = Math.floor(this.#now * upstreams / HEARTBEAT_INTERVAL);
+    for (let index = before; index < until; index += 1) {
       this.#sequence += 1;
-      this.#ofReplica(() =>
+      this.#timeReplica(() =>
         this.#hub.mergeUpstream({
-          id: `upstream-${place % upstreams}`,
-          name: `upstream-${place % upstreams}`,
+          id: `upstream-${index % upstreams}`,
+          name: `upstream-${index % upstreams}`,
           born: 1_000_000,
           service: "writers",
-          address: `10.1.${Math.floor(place % upstreams / 250)}.${
-            place % upstreams % 250
+          address: `10.1.${Math.floor(index % upstreams / 250)}.${
+            index % upstreams % 250
           }:8000`,
-          zone: `zone-${place % upstreams % 6}`,
+          zone: `zone-${index % upstreams % 6}`,
           slots: 64,
           sequence: this.#sequence,
           state: "ready",
@@ -230,27 +238,31 @@
   }
 
   #exchange(entry: SimulatedEntry): void {
-    const request = this.#ofEntry(() => JSON.stringify(this.#describe(entry)));
-    const reply = this.#ofReplica(() =>
+    const request = this.#timeEntry(() =>
+      JSON.stringify(this.#buildRequest(entry))
+    );
+    const reply = this.#timeReplica(() =>
       JSON.stringify(
         this.#hub.sync(JSON.parse(request) as SyncRequest, {
           now: this.#now,
           document: {
-            version: this.#version,
-            source: `{"version":${this.#version}}`,
+            version: this.#documentVersion,
+            source: `{"version":${this.#documentVersion}}`,
           },
           controls: ["10.1.0.1:7600", "10.2.0.1:7600", "10.3.0.1:7600"],
           isLeading: true,
         }),
       )
     );
-    this.#ofEntry(() => this.#learn(entry, JSON.parse(reply) as SyncReply));
-    this.#spent.calls += 1;
-    this.#spent.requestBytes += request.length;
-    this.#spent.replyBytes += reply.length;
+    this.#timeEntry(() =>
+      this.#applyReply(entry, JSON.parse(reply) as SyncReply)
+    );
+    this.#usage.calls += 1;
+    this.#usage.requestBytes += request.length;
+    this.#usage.replyBytes += reply.length;
   }
 
-  #describe(entry: SimulatedEntry): SyncRequest {
+  #buildRequest(entry: SimulatedEntry): SyncRequest {
     const { name, boot, isOpen, feed, revision, documentVersion } = entry;
     return {
       entry: {
@@ -279,23 +291,23 @@
 
   #drawLoads(): Record<string, { requests: number; backlog: number }> {
     const loads: Record<string, { requests: number; backlog: number }> = {};
-    for (let used = 0; used < USED_UPSTREAMS; used += 1) {
-      const place = Math.floor(this.#random() * this.#options.upstreams);
-      loads[`upstream-${place}`] = {
-        requests: 1 + Math.floor(this.#random() * MOST_UNDER_WAY),
+    for (let used = 0; used < USED_UPSTREAM_COUNT; used += 1) {
+      const index = Math.floor(this.#random() * this.#options.upstreams);
+      loads[`upstream-${index}`] = {
+        requests: 1 + Math.floor(this.#random() * MAX_IN_FLIGHT),
         backlog: Math.floor(this.#random() * 100),
       };
     }
     return loads;
   }
 
-  #learn(entry: SimulatedEntry, reply: SyncReply): void {
+  #applyReply(entry: SimulatedEntry, reply: SyncReply): void {
     entry.feed = reply.feed;
     entry.revision = reply.revision;
     entry.loadsSince = reply.revision;
     entry.report.handleReply(reply);
     if (reply.document !== undefined) {
-      entry.documentVersion = this.#version;
+      entry.documentVersion = this.#documentVersion;
     }
     const ages = reply.ages ?? {};
     for (const record of reply.upstreams) {
@@ -309,9 +321,9 @@
     }
     const loads = shared?.loadsOfOthers ?? {};
     if (shared?.areLoadsPartial) {
-      entry.choice.applyLoadChanges(loads, this.#now);
+      entry.balancer.applyLoadChanges(loads, this.#now);
     } else {
-      entry.choice.replaceReportedLoads(loads, this.#now);
+      entry.balancer.replaceReportedLoads(loads, this.#now);
     }
     entry.quota.applyCharges(reply.feed, {
       spent: reply.spentByOthers,
@@ -321,22 +333,22 @@
     });
   }
 
-  #ofReplica<Result>(work: () => Result): Result {
+  #timeReplica<Result>(work: () => Result): Result {
     const startedAt = performance.now();
     const result = work();
-    this.#spent.replicaSeconds += (performance.now() - startedAt) / 1000;
+    this.#usage.replicaSeconds += (performance.now() - startedAt) / 1000;
     return result;
   }
 
-  #ofEntry<Result>(work: () => Result): Result {
+  #timeEntry<Result>(work: () => Result): Result {
     const startedAt = performance.now();
     const result = work();
-    this.#spent.entrySeconds += (performance.now() - startedAt) / 1000;
+    this.#usage.entrySeconds += (performance.now() - startedAt) / 1000;
     return result;
   }
 }
 
-function nothingSpent(): Spent {
+function createEmptyUsage(): ExchangeUsage {
   return {
     replicaSeconds: 0,
     entrySeconds: 0,
--- a/packages/bench/virtual_time.ts
+++ b/packages/bench/virtual_time.ts
@@ -1,34 +1,35 @@
-/** An action at a time. */
-type Scheduled = {
+/** An action with the time at which it runs. */
+type ScheduledAction = {
   readonly at: number;
   readonly order: number;
   action: (() => void) | undefined;
 };
 
 /**
- * Time that passes only from one scheduled action to the next. Actions of one
- * moment run in the order they were scheduled in, so every run is the same.
+ * A simulated clock that advances from one scheduled action to the next.
+ * Actions due at the same time run in scheduling order, which makes runs
+ * deterministic.
  */
 export class VirtualTime {
   now = 0;
-  readonly #heap: Scheduled[] = [];
+  readonly #heap: ScheduledAction[] = [];
   #order = 0;
 
-  /** Runs an action later; returns how to cancel it. */
+  /** Schedules an action after a delay; returns a function that cancels it. */
   schedule(action: () => void, delay: number): () => void {
     this.#order += 1;
-    const entry: Scheduled = {
+    const scheduled: ScheduledAction = {
       at: this.now + Math.max(0, delay),
       order: this.#order,
       action,
     };
-    this.#push(entry);
+    this.#push(scheduled);
     return () => {
-      entry.action = undefined;
+      scheduled.action = undefined;
     };
   }
 
-  /** Runs an action again and again. */
+  /** Runs an action repeatedly, first after one interval. */
   every(interval: number, action: () => void): void {
     this.schedule(() => {
       action();
@@ -36,31 +37,34 @@
     }, interval);
   }
 
-  /** Runs everything that is due before `until`. */
+  /**
+   * Runs all actions due up to and including `until`, and advances the clock to
+   * it.
+   */
   run(until: number): void {
     while (this.#heap.length > 0 && this.#heap[0]!.at <= until) {
-      const entry = this.#pop();
-      this.now = entry.at;
-      entry.action?.();
+      const scheduled = this.#pop();
+      this.now = scheduled.at;
+      scheduled.action?.();
     }
     this.now = until;
   }
 
-  #push(entry: Scheduled): void {
+  #push(scheduled: ScheduledAction): void {
     const heap = this.#heap;
-    heap.push(entry);
-    let place = heap.length - 1;
-    while (place > 0) {
-      const parent = (place - 1) >> 1;
-      if (!isBefore(heap[place]!, heap[parent]!)) {
+    heap.push(scheduled);
+    let index = heap.length - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!isBefore(heap[index]!, heap[parent]!)) {
         return;
       }
-      swap(heap, place, parent);
-      place = parent;
+      swap(heap, index, parent);
+      index = parent;
     }
   }
 
-  #pop(): Scheduled {
+  #pop(): ScheduledAction {
     const heap = this.#heap;
     const top = heap[0]!;
     const last = heap.pop()!;
@@ -68,33 +72,33 @@
       return top;
     }
     heap[0] = last;
-    let place = 0;
+    let index = 0;
     while (true) {
-      const left = 2 * place + 1;
+      const left = 2 * index + 1;
       const right = left + 1;
-      let least = place;
-      if (left < heap.length && isBefore(heap[left]!, heap[least]!)) {
-        least = left;
+      let earliest = index;
+      if (left < heap.length && isBefore(heap[left]!, heap[earliest]!)) {
+        earliest = left;
       }
-      if (right < heap.length && isBefore(heap[right]!, heap[least]!)) {
-        least = right;
+      if (right < heap.length && isBefore(heap[right]!, heap[earliest]!)) {
+        earliest = right;
       }
-      if (least === place) {
+      if (earliest === index) {
         return top;
       }
-      swap(heap, place, least);
-      place = least;
+      swap(heap, index, earliest);
+      index = earliest;
     }
   }
 }
 
-function isBefore(left: Scheduled, right: Scheduled): boolean {
+function isBefore(left: ScheduledAction, right: ScheduledAction): boolean {
   return left.at < right.at ||
     (left.at === right.at && left.order < right.order);
 }
 
-function swap(heap: Scheduled[], left: number, right: number): void {
-  const kept = heap[left]!;
+function swap(heap: ScheduledAction[], left: number, right: number): void {
+  const previous = heap[left]!;
   heap[left] = heap[right]!;
-  heap[right] = kept;
+  heap[right] = previous;
 }
