--- a/packages/schema/describe_problems.ts
+++ b/packages/schema/describe_problems.ts
@@ -1,10 +1,10 @@
 import type { ValidationProblem } from "./validation_problem.ts";
 
-const MOST_PROBLEMS = 3;
+const MAX_PROBLEMS = 3;
 
 /**
- * Says in one sentence what is wrong with a rejected value, first problem
- * first.
+ * Describes the first problems of a rejected value in one line, for error
+ * messages.
  *
  * @public
  * @example describeProblems(checkChatRequest.errors)
@@ -12,19 +12,23 @@
 export function describeProblems(
   problems: readonly ValidationProblem[] | null | undefined,
 ): string {
-  const lines = (problems ?? []).slice(0, MOST_PROBLEMS).map(describeProblem);
-  return lines.length === 0 ? "the value is malformed" : lines.join("; ");
+  const descriptions = (problems ?? []).slice(0, MAX_PROBLEMS).map(
+    describeProblem,
+  );
+  return descriptions.length === 0
+    ? "the value is malformed"
+    : descriptions.join("; ");
 }
 
 function describeProblem(problem: ValidationProblem): string {
-  const where = problem.instancePath === "" ? "body" : problem.instancePath;
-  const allowed = problem.params["allowedValues"];
-  if (Array.isArray(allowed)) {
-    return `${where} must be one of ${allowed.join(", ")}`;
+  const location = problem.instancePath === "" ? "body" : problem.instancePath;
+  const allowedValues = problem.params["allowedValues"];
+  if (Array.isArray(allowedValues)) {
+    return `${location} must be one of ${allowedValues.join(", ")}`;
   }
-  const extra = problem.params["additionalProperty"];
-  if (typeof extra === "string") {
-    return `${where} has the unknown field "${extra}"`;
+  const unknownField = problem.params["additionalProperty"];
+  if (typeof unknownField === "string") {
+    return `${location} has the unknown field "${unknownField}"`;
   }
-  return `${where} ${problem.message ?? "is malformed"}`;
+  return `${location} ${problem.message ?? "is malformed"}`;
 }
--- a/packages/schema/mod.ts
+++ b/packages/schema/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The messages, settings and records that cross a process or a disk, with
- * their validators. Sources are in `sources/`; the code in `generated/` is
- * committed so that the build needs no generator.
+ * Types and validators of the messages between processes, the settings and the
+ * stored records. The JSON Schema sources are in `sources/`; the code generated
+ * from them is committed, so that the build doesn't run the generator.
  *
  * @module
  */
--- a/packages/schema/parse_settings.ts
+++ b/packages/schema/parse_settings.ts
@@ -2,14 +2,13 @@
 import type { ValidationProblem } from "./validation_problem.ts";
 import { checkSettings } from "./generated/settings_validator.ts";
 
-/** One problem of a settings file. */
 type SettingsProblem = {
   readonly key: string;
   readonly found: string;
   readonly remedy: string;
 };
 
-/** Either checked settings or everything that is wrong with them. */
+/** Valid settings, or all problems that were found. */
 type ParsedSettings =
   | { readonly settings: Settings }
   | { readonly problems: readonly SettingsProblem[] };
@@ -17,8 +16,8 @@
 const OPTIONAL_SECTIONS = ["logs", "metrics", "policy"] as const;
 
 /**
- * Converts the text values of an INI file to the types of the schema and
- * checks them. Missing values take the schema's defaults.
+ * Converts the text values of a parsed INI file to the types of the schema and
+ * validates them. Missing values get the defaults of the schema.
  *
  * @public
  */
@@ -32,32 +31,35 @@
   if (checkSettings(candidate)) {
     return { settings: candidate };
   }
-  return { problems: (checkSettings.errors ?? []).map(describeError) };
+  return { problems: (checkSettings.errors ?? []).map(toSettingsProblem) };
 }
 
-function describeError(error: ValidationProblem): SettingsProblem {
+function toSettingsProblem(error: ValidationProblem): SettingsProblem {
   const path = error.instancePath.split("/").filter((part) => part !== "");
   if (error.keyword === "required") {
     const key = [...path, String(error.params["missingProperty"])].join(".");
     return { key, found: "nothing", remedy: `add ${key} to the file` };
   }
   if (error.keyword === "additionalProperties") {
-    const extra = String(error.params["additionalProperty"]);
-    const key = [...path, extra].join(".");
+    const unknownKey = String(error.params["additionalProperty"]);
+    const key = [...path, unknownKey].join(".");
     return {
       key,
       found: "an unknown key",
-      remedy: "remove it or correct its spelling; docs/SETTINGS.md lists keys",
+      remedy:
+        "remove it or correct its spelling; docs/SETTINGS.md lists all keys",
     };
   }
-  const allowed = error.params["allowedValues"];
-  const wanted = Array.isArray(allowed)
-    ? `use one of ${allowed.join(", ")}`
-    : `use a value that ${error.message ?? "fits docs/SETTINGS.md"}`;
-  const meaning = error.parentSchema?.description;
+  const allowedValues = error.params["allowedValues"];
+  const requirement = Array.isArray(allowedValues)
+    ? `use one of ${allowedValues.join(", ")}`
+    : `the value ${error.message ?? "must conform to docs/SETTINGS.md"}`;
+  const keyDescription = error.parentSchema?.description;
   return {
     key: path.join("."),
     found: JSON.stringify(error.data) ?? "nothing",
-    remedy: meaning === undefined ? wanted : `${wanted} (${meaning})`,
+    remedy: keyDescription === undefined
+      ? requirement
+      : `${requirement} (${keyDescription})`,
   };
 }
--- a/packages/schema/validation_problem.ts
+++ b/packages/schema/validation_problem.ts
@@ -1,4 +1,4 @@
-/** One problem as the generated validators report it. @public */
+/** A problem found by a generated validator, in the form of ajv. @public */
 export type ValidationProblem = {
   readonly instancePath: string;
   readonly keyword: string;
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles the program that runs on the users' platform into one file, straight
- * from the sources of the workspace.
+ * Bundles `platform/main.ts` into one file, directly from the TypeScript sources
+ * of the workspace packages.
  */
 import { existsSync } from "node:fs";
 import { join } from "node:path";
@@ -35,7 +35,7 @@
   minifySyntax: true,
   plugins: [workspaceSources],
   external: ["unix-dgram"],
-  // Its other form asks for its parts while it runs, which no bundle has.
+  // The UMD build requires its modules at run time, which a bundle can't resolve.
   alias: { "jsonc-parser": "jsonc-parser/lib/esm/main.js" },
   banner: {
     js: 'import { createRequire } from "node:module";' +
--- a/scripts/check_bundle.mjs
+++ b/scripts/check_bundle.mjs
@@ -1,7 +1,7 @@
 /**
  * Starts the bundle as an entry and as a control replica on loopback, and
- * checks that both listen: a library that a bundle takes in the wrong form
- * fails at the start only.
+ * checks that both listen. A dependency that is bundled in an unsuitable module
+ * format fails only at startup.
  */
 import { spawn } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
@@ -9,8 +9,8 @@
 import { join } from "node:path";
 
 const HOST = "127.0.5.1";
-const TIMEOUT = 15_000;
-const SIGNS = {
+const STARTUP_TIMEOUT_MS = 15_000;
+const READY_MESSAGES = {
   entry: "Listens for callers",
   control: "Serves operators and upstreams",
 };
@@ -19,8 +19,8 @@
 writeFileSync(settingsFile, JSON.stringify(createSettings()));
 
 try {
-  for (const [role, sign] of Object.entries(SIGNS)) {
-    await start(role, sign);
+  for (const [role, readyMessage] of Object.entries(READY_MESSAGES)) {
+    await startRole(role, readyMessage);
   }
   console.log("The bundle starts in both roles");
 } catch (error) {
@@ -30,25 +30,25 @@
   rmSync(folder, { recursive: true, force: true });
 }
 
-/** Resolves once the role has said that it listens. */
-function start(role, sign) {
+/** Resolves once the process has logged that it listens, and has exited. */
+function startRole(role, readyMessage) {
   const child = spawn(process.execPath, ["target/heroncleat.mjs", role], {
     env: { ...process.env, HERONCLEAT_CONFIG: settingsFile },
   });
   let output = "";
   return new Promise((resolve, reject) => {
-    const timer = setTimeout(() => child.kill("SIGKILL"), TIMEOUT);
-    const read = (chunk) => {
+    const timer = setTimeout(() => child.kill("SIGKILL"), STARTUP_TIMEOUT_MS);
+    const onOutput = (chunk) => {
       output += chunk;
-      if (output.includes(sign)) {
+      if (output.includes(readyMessage)) {
         child.kill("SIGKILL");
       }
     };
-    child.stdout.on("data", read);
-    child.stderr.on("data", read);
+    child.stdout.on("data", onOutput);
+    child.stderr.on("data", onOutput);
     child.once("exit", () => {
       clearTimeout(timer);
-      if (output.includes(sign)) {
+      if (output.includes(readyMessage)) {
         resolve();
       } else {
         reject(new Error(`The bundle doesn't start as ${role}:\n${output}`));
--- a/scripts/check_node.cjs
+++ b/scripts/check_node.cjs
@@ -1,14 +1,14 @@
 /**
- * Ends with a clear error on a Node.js that is too old. Plain enough for any
- * version to read.
+ * Exits with an error if Node.js is too old. Uses only syntax that every version
+ * of Node.js can parse.
  */
 "use strict";
-const LEAST_MAJOR = 20;
-const major = Number(process.versions.node.split(".")[0]);
-if (major < LEAST_MAJOR) {
+const MIN_MAJOR_VERSION = 20;
+const majorVersion = Number(process.versions.node.split(".")[0]);
+if (majorVersion < MIN_MAJOR_VERSION) {
   console.error(
-    "heroncleat needs Node.js " + LEAST_MAJOR + " or newer; this is " +
-      process.versions.node + ". Remedy: install a newer one.",
+    "heroncleat requires Node.js " + MIN_MAJOR_VERSION + " or newer; found " +
+      process.versions.node + ". Remedy: install a newer version.",
   );
   process.exit(1);
 }
--- a/scripts/check_platform_names.mjs
+++ b/scripts/check_platform_names.mjs
@@ -1,11 +1,11 @@
 /**
- * Only `platform/` may know the platform's names: fails where a header, path
- * or field of the platform stands in the product's sources.
+ * Fails if a header, path or field of the platform's API occurs in `packages/`
+ * or `apps/`. Only `platform/` may use these names.
  */
 import { execFileSync } from "node:child_process";
 import { readFileSync } from "node:fs";
 
-const NAMES = [
+const PLATFORM_NAMES = [
   "attempt-id",
   "backend-signature",
   "expected-instance",
@@ -26,23 +26,23 @@
   "coldRemainingMs",
   "heartbeatAddress",
 ];
-const pattern = new RegExp(NAMES.join("|"), "i");
+const pattern = new RegExp(PLATFORM_NAMES.join("|"), "i");
 
 const files = execFileSync("git", ["ls-files", "packages", "apps"], {
   encoding: "utf8",
 }).split("\n").filter((name) => name.endsWith(".ts"));
-let found = 0;
+let matchCount = 0;
 for (const file of files) {
-  readFileSync(file, "utf8").split("\n").forEach((line, at) => {
+  readFileSync(file, "utf8").split("\n").forEach((line, index) => {
     if (pattern.test(line)) {
-      found += 1;
-      console.log(`${file}:${at + 1}: ${line.trim()}`);
+      matchCount += 1;
+      console.log(`${file}:${index + 1}: ${line.trim()}`);
     }
   });
 }
-if (found > 0) {
+if (matchCount > 0) {
   console.log(
-    `${found} lines name the platform. Remedy: translate in platform/.`,
+    `${matchCount} lines use platform names. Remedy: translate in platform/.`,
   );
   process.exit(1);
 }
--- a/scripts/run_tests.mjs
+++ b/scripts/run_tests.mjs
@@ -1,29 +1,35 @@
 /**
- * Runs all tests and closes with one line of counts. A test that is listed in
- * KNOWN-RED.txt may fail; it is printed, and it must be taken off the list as
- * soon as it passes.
+ * Runs all tests and prints the counts in the last line. A test that is listed
+ * in KNOWN-RED.txt must fail and is printed; if it passes, the run fails until
+ * it is removed from the list.
  */
 import { spawnSync } from "node:child_process";
 import { existsSync, mkdtempSync, readFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 
-const KNOWN_RED = "KNOWN-RED.txt";
-const MOST_KNOWN_RED = 3;
+const KNOWN_FAILURES_FILE = "KNOWN-RED.txt";
+const MAX_KNOWN_FAILURES = 3;
 
 /**
- * Suites that start real processes or measure in real time. They run one
- * after the other, so that they don't take each other's processor time.
+ * Suites that start processes or depend on real time. They run one after the
+ * other, so that they don't compete for processor time.
  */
-const REAL_TIME =
+const REAL_TIME_SUITES =
   "apps/(heroncleatd/(tests|hub)/|heroncleat/tool_test)|platform/soak/";
 
 const folder = mkdtempSync(join(tmpdir(), "heroncleat-"));
-const words = process.argv.slice(2);
-const results = words.length > 0 ? [runJest("chosen", words)] : [
-  runJest("units", ["--testPathIgnorePatterns", REAL_TIME]),
-  runJest("real_time", ["--runInBand", "--testPathPatterns", REAL_TIME]),
-];
+const jestArguments = process.argv.slice(2);
+const results = jestArguments.length > 0
+  ? [runJest("chosen", jestArguments)]
+  : [
+    runJest("units", ["--testPathIgnorePatterns", REAL_TIME_SUITES]),
+    runJest("real_time", [
+      "--runInBand",
+      "--testPathPatterns",
+      REAL_TIME_SUITES,
+    ]),
+  ];
 
 function runJest(name, options) {
   const report = join(folder, `${name}.json`);
@@ -35,13 +41,13 @@
     ...options,
   ], { stdio: "inherit" });
   if (!existsSync(report)) {
-    console.error("The test runner ended without a report.");
+    console.error("Jest exited without writing a report.");
     process.exit(jest.status || 1);
   }
   return JSON.parse(readFileSync(report, "utf8"));
 }
 
-const known = readKnownRed();
+const knownFailures = readKnownFailures();
 let passed = 0;
 let failed = 0;
 let skipped = 0;
@@ -50,10 +56,10 @@
 }
 for (const suite of results.flatMap(({ testResults }) => testResults)) {
   for (const test of suite.assertionResults) {
-    const isKnown = known.has(test.fullName);
-    if (test.status === "passed" && !isKnown) {
+    const isKnownFailure = knownFailures.has(test.fullName);
+    if (test.status === "passed" && !isKnownFailure) {
       passed += 1;
-    } else if (test.status === "failed" && isKnown) {
+    } else if (test.status === "failed" && isKnownFailure) {
       skipped += 1;
       console.log(`known red: ${test.fullName}`);
     } else {
@@ -62,18 +68,20 @@
     }
   }
 }
-if (known.size > MOST_KNOWN_RED) {
+if (knownFailures.size > MAX_KNOWN_FAILURES) {
   failed += 1;
-  console.log(`${KNOWN_RED} lists more than ${MOST_KNOWN_RED} tests.`);
+  console.log(
+    `${KNOWN_FAILURES_FILE} lists more than ${MAX_KNOWN_FAILURES} tests.`,
+  );
 }
 console.log(`${passed} passed, ${failed} failed, ${skipped} skipped`);
 process.exit(failed > 0 || passed === 0 ? 1 : 0);
 
-function readKnownRed() {
-  if (!existsSync(KNOWN_RED)) {
+function readKnownFailures() {
+  if (!existsSync(KNOWN_FAILURES_FILE)) {
     return new Set();
   }
-  const lines = readFileSync(KNOWN_RED, "utf8").split("\n");
+  const lines = readFileSync(KNOWN_FAILURES_FILE, "utf8").split("\n");
   const entries = lines.filter((line) => line !== "" && !line.startsWith("#"));
   return new Set(entries.map((line) => line.split(" | ")[0].trim()));
 }
