--- a/apps/demo/main.ts
+++ b/apps/demo/main.ts
@@ -10,10 +10,10 @@
 import { dirname, join } from "node:path";
 import { parseArgs } from "node:util";
 import {
-  ask,
   type Deployment,
-  findTakenAddress,
+  findAddressInUse,
   type ProcessGroup,
+  sendPrompt,
   startDeployment,
   writeDeployment,
 } from "@heroncleat/local_deployment";
@@ -69,7 +69,7 @@
 }
 
 async function checkAddresses(): Promise<void> {
-  const taken = await findTakenAddress(deployment);
+  const taken = await findAddressInUse(deployment);
   if (taken !== undefined) {
     throw new Error(
       `Something listens on ${taken} already. Remedy: end it, or give other ` +
@@ -97,10 +97,10 @@
   const prompt = readFileSync(PROMPT_FILE, "utf8");
   print(`Prompt: ${prompt}Answer:`);
   const key = callerKeys["bistro"]!;
-  const answer = await ask(entry.address, { key, prompt, print });
+  const answer = await sendPrompt(entry.address, { key, prompt, print });
   print(`\nRequest ${answer.requestId}\n`);
   print(`Served by ${answer.upstream}, first token after `);
-  print(`${answer.firstToken.toFixed(1)} ms.\n`);
+  print(`${answer.timeToFirstToken.toFixed(1)} ms.\n`);
 }
 
 async function keepUp(kept: Deployment): Promise<void> {
--- a/apps/heroncleatd/tests/callers_api_test.ts
+++ b/apps/heroncleatd/tests/callers_api_test.ts
@@ -1,7 +1,7 @@
 import { connect } from "node:net";
 import { splitAddress } from "@heroncleat/base";
-import { followAnswer } from "@heroncleat/local_deployment";
-import { expectedAnswer } from "@heroncleat/stand_ins";
+import { streamChatCompletion } from "@heroncleat/local_deployment";
+import { expectedCompletion } from "@heroncleat/stand_ins";
 import * as fc from "fast-check";
 import { request } from "undici";
 import { LiveDeployment } from "./live_deployment.ts";
@@ -54,8 +54,8 @@
 
   test("streams an answer and gives it whole when not streamed", async () => {
     const body = chat("A table for two by the window, please.");
-    const expected = expectedAnswer(body, "demo");
-    const streamed = await followAnswer({
+    const expected = expectedCompletion(body, "demo");
+    const streamed = await streamChatCompletion({
       entries: live.callers,
       key: live.key,
       body,
@@ -74,12 +74,12 @@
       body: JSON.stringify(completion),
     });
     expect(JSON.parse(text.body).choices[0].text)
-      .toBe(expectedAnswer(completion, "demo"));
+      .toBe(expectedCompletion(completion, "demo"));
   });
 
   test("gives an answer again from any entry, from any piece on", async () => {
     const body = chat("Fetch me again", 20);
-    const { requestId, text } = await followAnswer({
+    const { requestId, text } = await streamChatCompletion({
       entries: live.callers,
       key: live.key,
       body,
--- a/apps/heroncleatd/tests/claims_test.ts
+++ b/apps/heroncleatd/tests/claims_test.ts
@@ -101,7 +101,7 @@
     await bookAll("filler", { keys: 40, disturb: async () => {} });
     for (const { name } of live.deployment.controls) {
       live.processes.signal(name, "SIGKILL");
-      await live.processes.exitOf(name);
+      await live.processes.waitForExit(name);
     }
     for (const { name } of live.deployment.controls) {
       live.restart(name);
@@ -233,8 +233,8 @@
     live.processes.signal("entry-1", "SIGTERM");
     live.processes.signal("control-1", "SIGTERM");
     expect((await slow).status).toBe(200);
-    expect(await live.processes.exitOf("entry-1")).toBe(0);
-    expect(await live.processes.exitOf("control-1")).toBe(0);
+    expect(await live.processes.waitForExit("entry-1")).toBe(0);
+    expect(await live.processes.waitForExit("control-1")).toBe(0);
     const reply = await live.book(1, "after-two-stops");
     expect(reply.status).toBe(200);
   });
@@ -252,7 +252,7 @@
     live.processes.signal("entry-2", "SIGTERM");
     await sleep(100);
     live.processes.signal("entry-2", "SIGTERM");
-    expect(await live.processes.exitOf("entry-2")).toBe(1);
+    expect(await live.processes.waitForExit("entry-2")).toBe(1);
     await stream;
   });
 });
--- a/apps/heroncleatd/tests/control_test.ts
+++ b/apps/heroncleatd/tests/control_test.ts
@@ -1,6 +1,6 @@
 import { rmSync, writeFileSync } from "node:fs";
 import { splitAddress } from "@heroncleat/base";
-import { LinkRelay, waitFor } from "@heroncleat/local_deployment";
+import { TcpRelay, waitFor } from "@heroncleat/local_deployment";
 import type { Edit } from "@heroncleat/schema";
 import { LiveDeployment } from "./live_deployment.ts";
 
@@ -10,13 +10,13 @@
   entries: 3,
   engines: 1,
   services: 1,
-  relayed: true,
+  usesRelays: true,
   controlSettings: { snapshot_entries: 200 },
   entrySettings: { configuration_lease: 2000 },
 });
 const { controls, entries } = live.deployment;
 const relays = [...controls, ...entries].map((peer) =>
-  new LinkRelay(peer.advertisedAddress, peer.peerAddress)
+  new TcpRelay(peer.advertisedAddress, peer.peerAddress)
 );
 
 beforeAll(async () => {
@@ -47,11 +47,11 @@
   const own = splitAddress(peers[place]!.peerAddress).host;
   for (const [index, relay] of relays.entries()) {
     if (index !== place) {
-      relay.cut(own);
+      relay.partition(own);
       continue;
     }
     for (const peer of peers) {
-      relay.cut(splitAddress(peer.peerAddress).host);
+      relay.partition(splitAddress(peer.peerAddress).host);
     }
   }
 }
@@ -240,7 +240,7 @@
     const leader = await live.leader();
     const [lost, other] = controls.filter(({ name }) => name !== leader);
     live.processes.signal(lost!.name, "SIGKILL");
-    await live.processes.exitOf(lost!.name);
+    await live.processes.waitForExit(lost!.name);
     rmSync(lost!.dataFolder, { recursive: true });
     live.restart(lost!.name);
     await waitFor("The lost replica to vote again", {
@@ -270,7 +270,7 @@
     const leader = await live.leader();
     const victim = controls.find(({ name }) => name !== leader)!;
     live.processes.signal(victim.name, "SIGKILL");
-    await live.processes.exitOf(victim.name);
+    await live.processes.waitForExit(victim.name);
     const { readdirSync, readFileSync } = await import("node:fs");
     const name = readdirSync(victim.dataFolder).find((file) =>
       file.startsWith("journal-")
@@ -280,7 +280,7 @@
     bytes[20]! ^= 0xff;
     writeFileSync(path, bytes);
     live.restart(victim.name);
-    expect(await live.processes.exitOf(victim.name)).toBe(3);
+    expect(await live.processes.waitForExit(victim.name)).toBe(3);
     const log = readFileSync(
       `${live.deployment.folder}/${victim.name}.log`,
       "utf8",
--- a/apps/heroncleatd/tests/crash_test.ts
+++ b/apps/heroncleatd/tests/crash_test.ts
@@ -32,7 +32,7 @@
 /** Starts an upstream again whenever it has ended. */
 async function keepUp(name: string): Promise<void> {
   while (!isOver) {
-    await live.processes.exitOf(name);
+    await live.processes.waitForExit(name);
     ends += isOver ? 0 : 1;
     await sleep(DOWNTIME);
     if (!isOver) {
--- a/apps/heroncleatd/tests/live_deployment.ts
+++ b/apps/heroncleatd/tests/live_deployment.ts
@@ -50,14 +50,14 @@
     if (peer !== undefined) {
       this.processes.start(name, {
         script: SCRIPTS.daemon,
-        words: ["--settings", peer.settingsFile],
+        args: ["--settings", peer.settingsFile],
       });
       return;
     }
     const upstream = upstreams.find((known) => known.name === name)!;
     this.processes.start(name, {
       script: SCRIPTS.standIn,
-      words: [upstream.settingsFile],
+      args: [upstream.settingsFile],
     });
   }
 
--- a/apps/heroncleatd/tests/loss_test.ts
+++ b/apps/heroncleatd/tests/loss_test.ts
@@ -1,5 +1,5 @@
 import { readFileSync, writeFileSync } from "node:fs";
-import { followAnswer, waitFor } from "@heroncleat/local_deployment";
+import { streamChatCompletion, waitFor } from "@heroncleat/local_deployment";
 import { LiveDeployment } from "./live_deployment.ts";
 
 const ENGINES = 4;
@@ -36,12 +36,15 @@
 function startStreams(
   count: number,
   from = 0,
-): { answers: ReturnType<typeof followAnswer>[]; accepted: Promise<unknown> } {
+): {
+  answers: ReturnType<typeof streamChatCompletion>[];
+  accepted: Promise<unknown>;
+} {
   const accepted: Promise<unknown>[] = [];
   const answers = Array.from({ length: count }, (_, n) => {
     let onAccepted = () => {};
     const isAccepted = new Promise<void>((resolve) => onAccepted = resolve);
-    const answer = followAnswer({
+    const answer = streamChatCompletion({
       entries: rotate(live.callers, n),
       key: live.key,
       body: {
@@ -66,7 +69,7 @@
 
 /** Whole answers, each token once, and equal to what is held for it. */
 async function expectWhole(
-  answers: Awaited<ReturnType<typeof followAnswer>>[],
+  answers: Awaited<ReturnType<typeof streamChatCompletion>>[],
   place = 3,
 ): Promise<void> {
   for (const answer of answers) {
@@ -160,7 +163,7 @@
     expect(answers.map((answer) => answer.reconnects)).toEqual(
       answers.map(() => 0),
     );
-    expect(await live.processes.exitOf("entry-1")).toBe(0);
+    expect(await live.processes.waitForExit("entry-1")).toBe(0);
   });
 
   test("are handed over when a planned stop has no time to finish", async () => {
@@ -171,6 +174,6 @@
     const accepted = answers.filter((answer) => answer.requestId !== "");
     await expectWhole(accepted, 1);
     expect(accepted.some((answer) => answer.reconnects > 0)).toBe(true);
-    expect(await live.processes.exitOf("entry-4")).toBe(0);
+    expect(await live.processes.waitForExit("entry-4")).toBe(0);
   });
 });
--- a/apps/heroncleatd/tests/restart_test.ts
+++ b/apps/heroncleatd/tests/restart_test.ts
@@ -1,4 +1,4 @@
-import { followAnswer, waitFor } from "@heroncleat/local_deployment";
+import { streamChatCompletion, waitFor } from "@heroncleat/local_deployment";
 import { LiveDeployment } from "./live_deployment.ts";
 
 const live = new LiveDeployment({
@@ -19,7 +19,7 @@
     const statuses: number[] = [];
     for (let turn = 0; turn < RESTARTS; turn += 1) {
       live.processes.signal("entry-2", "SIGKILL");
-      await live.processes.exitOf("entry-2");
+      await live.processes.waitForExit("entry-2");
       live.restart("entry-2");
       await waitFor("The return of entry-2", {
         timeout: 15_000,
@@ -30,7 +30,7 @@
           return answer?.status === 200 || undefined;
         },
       });
-      const answer = await followAnswer({
+      const answer = await streamChatCompletion({
         entries: [live.callers[1]!],
         key: live.key,
         body: {
--- a/apps/heroncleatd/tests/wave_test.ts
+++ b/apps/heroncleatd/tests/wave_test.ts
@@ -1,6 +1,6 @@
 import {
-  followAnswer,
-  type FollowedAnswer,
+  streamChatCompletion,
+  type StreamedChatCompletion,
 } from "@heroncleat/local_deployment";
 import { LiveDeployment } from "./live_deployment.ts";
 
@@ -41,7 +41,7 @@
     await sleep(NOTICE);
     for (const name of names) {
       live.processes.signal(name, "SIGKILL");
-      await live.processes.exitOf(name);
+      await live.processes.waitForExit(name);
     }
     await sleep(300);
     for (const name of names) {
@@ -55,7 +55,7 @@
 
 describe("a thousand requests through waves that take zones", () => {
   test("are all answered whole", async () => {
-    const answers: FollowedAnswer[] = [];
+    const answers: StreamedChatCompletion[] = [];
     let next = 0;
     let running = AT_ONCE;
     const waves = runWaves(() => running === 0);
@@ -64,7 +64,7 @@
         const n = next;
         next += 1;
         answers.push(
-          await followAnswer({
+          await streamChatCompletion({
             entries: [live.callers[n % 4]!, live.callers[(n + 1) % 4]!],
             key: live.key,
             body: {
--- a/packages/local_deployment/deployment_plan.ts
+++ b/packages/local_deployment/deployment_plan.ts
@@ -10,7 +10,7 @@
   readonly engines: number;
   readonly services: number;
   /** Whether peers reach each other through relays that can be cut. */
-  readonly relayed?: boolean;
+  readonly usesRelays?: boolean;
   readonly workspaces?: readonly string[];
   /** Lines added to the [entry], [control] and [policy] sections. */
   readonly entrySettings?: Readonly<Record<string, string | number>>;
@@ -20,6 +20,6 @@
   /** Changes one upstream's settings. */
   readonly upstream?: (
     settings: StandInSettings,
-    place: number,
+    index: number,
   ) => StandInSettings;
 };
--- a/packages/local_deployment/find_taken_address.ts
+++ b/packages/local_deployment/find_address_in_use.ts
@@ -8,7 +8,7 @@
  *
  * @public
  */
-export async function findTakenAddress(
+export async function findAddressInUse(
   deployment: Deployment,
 ): Promise<string | undefined> {
   const { controls, entries, upstreams } = deployment;
--- a/packages/local_deployment/mod.ts
+++ b/packages/local_deployment/mod.ts
@@ -7,11 +7,11 @@
 export type { Deployment } from "./deployment.ts";
 export type { DeploymentPlan } from "./deployment_plan.ts";
 export type { ProcessScripts } from "./process_scripts.ts";
-export type { FollowedAnswer } from "./followed_answer.ts";
-export { ask } from "./ask.ts";
-export { findTakenAddress } from "./find_taken_address.ts";
-export { followAnswer } from "./follow_answer.ts";
-export { LinkRelay } from "./link_relay.ts";
+export type { StreamedChatCompletion } from "./streamed_chat_completion.ts";
+export { sendPrompt } from "./send_prompt.ts";
+export { findAddressInUse } from "./find_address_in_use.ts";
+export { streamChatCompletion } from "./stream_chat_completion.ts";
+export { TcpRelay } from "./tcp_relay.ts";
 export { ProcessGroup } from "./process_group.ts";
 export { startDeployment } from "./start_deployment.ts";
 export { waitFor } from "./wait_for.ts";
--- a/packages/local_deployment/plan_addresses.ts
+++ b/packages/local_deployment/plan_addresses.ts
@@ -4,11 +4,11 @@
 type PlannedPeer = {
   readonly name: string;
   readonly zone: string;
-  readonly peer: string;
+  readonly peerAddress: string;
   /** Address that peers use: the relay's where there is one. */
-  readonly advertised: string;
+  readonly advertisedAddress: string;
   /** Operator or caller address. */
-  readonly served: string;
+  readonly serviceAddress: string;
 };
 
 /** A planned upstream. */
@@ -37,33 +37,33 @@
 /** Plans the addresses of a local deployment. @internal */
 export function planAddresses(plan: DeploymentPlan): AddressPlan {
   return {
-    controls: count(plan.controls).map((place) =>
+    controls: numbersUpTo(plan.controls).map((number) =>
       planPeer(plan, {
-        name: `control-${place}`,
-        place,
-        hosts: CONTROL_HOSTS,
-        relays: CONTROL_RELAYS,
+        name: `control-${number}`,
+        number,
+        hostPrefix: CONTROL_HOSTS,
+        relayPrefix: CONTROL_RELAYS,
       })
     ),
-    entries: count(plan.entries).map((place) =>
+    entries: numbersUpTo(plan.entries).map((number) =>
       planPeer(plan, {
-        name: `entry-${place}`,
-        place,
-        hosts: ENTRY_HOSTS,
-        relays: ENTRY_RELAYS,
+        name: `entry-${number}`,
+        number,
+        hostPrefix: ENTRY_HOSTS,
+        relayPrefix: ENTRY_RELAYS,
       })
     ),
     upstreams: [
-      ...count(plan.engines).map((place) => ({
-        name: `engine-${place}`,
-        zone: zoneOf(place),
-        address: `127.0.0.1:${plan.firstPort + UPSTREAM_PORTS + place}`,
+      ...numbersUpTo(plan.engines).map((number) => ({
+        name: `engine-${number}`,
+        zone: zoneOf(number),
+        address: `127.0.0.1:${plan.firstPort + UPSTREAM_PORTS + number}`,
         isEngine: true,
       })),
-      ...count(plan.services).map((place) => ({
-        name: `booking-${place}`,
-        zone: zoneOf(place),
-        address: `127.0.0.1:${plan.firstPort + 2 * UPSTREAM_PORTS + place}`,
+      ...numbersUpTo(plan.services).map((number) => ({
+        name: `booking-${number}`,
+        zone: zoneOf(number),
+        address: `127.0.0.1:${plan.firstPort + 2 * UPSTREAM_PORTS + number}`,
         isEngine: false,
       })),
     ],
@@ -72,24 +72,31 @@
 
 function planPeer(
   plan: DeploymentPlan,
-  options: { name: string; place: number; hosts: string; relays: string },
+  options: {
+    name: string;
+    number: number;
+    hostPrefix: string;
+    relayPrefix: string;
+  },
 ): PlannedPeer {
-  const { name, place, hosts, relays } = options;
-  const host = `${hosts}${place}`;
-  const peer = `${host}:${plan.firstPort}`;
+  const { name, number, hostPrefix, relayPrefix } = options;
+  const host = `${hostPrefix}${number}`;
+  const peerAddress = `${host}:${plan.firstPort}`;
   return {
     name,
-    zone: zoneOf(place),
-    peer,
-    advertised: plan.relayed ? `${relays}${place}:${plan.firstPort}` : peer,
-    served: `${host}:${plan.firstPort + 1}`,
+    zone: zoneOf(number),
+    peerAddress,
+    advertisedAddress: plan.usesRelays
+      ? `${relayPrefix}${number}:${plan.firstPort}`
+      : peerAddress,
+    serviceAddress: `${host}:${plan.firstPort + 1}`,
   };
 }
 
-function count(most: number): number[] {
-  return Array.from({ length: most }, (_, place) => place + 1);
+function numbersUpTo(max: number): number[] {
+  return Array.from({ length: max }, (_, number) => number + 1);
 }
 
-function zoneOf(place: number): string {
-  return ZONES[(place - 1) % ZONES.length]!;
+function zoneOf(number: number): string {
+  return ZONES[(number - 1) % ZONES.length]!;
 }
--- a/packages/local_deployment/process_group.ts
+++ b/packages/local_deployment/process_group.ts
@@ -19,9 +19,9 @@
     this.#folder = folder;
   }
 
-  start(name: string, options: { script: string; words: string[] }): void {
+  start(name: string, options: { script: string; args: string[] }): void {
     const log = openSync(join(this.#folder, `${name}.log`), "a");
-    const child = spawn(process.execPath, [options.script, ...options.words], {
+    const child = spawn(process.execPath, [options.script, ...options.args], {
       stdio: ["ignore", log, log],
     });
     closeSync(log);
@@ -33,9 +33,9 @@
   }
 
   /** Starts a process of the group again. */
-  restart(name: string, words: string[]): void {
+  restart(name: string, args: string[]): void {
     const { script } = this.#processes.get(name)!;
-    this.start(name, { script, words });
+    this.start(name, { script, args });
   }
 
   /** Sends a signal to one process. */
@@ -44,7 +44,7 @@
   }
 
   /** Resolves with the exit code of a process once it has ended. */
-  exitOf(name: string): Promise<number> {
+  waitForExit(name: string): Promise<number> {
     return this.#processes.get(name)!.exited;
   }
 
--- a/packages/local_deployment/ask.ts
+++ b/packages/local_deployment/send_prompt.ts
@@ -1,16 +1,16 @@
 import { request } from "undici";
 
 /** What a caller saw of one answer. */
-type AskedAnswer = {
+type PromptResponse = {
   readonly text: string;
   readonly requestId: string;
   readonly upstream: string;
   /** Milliseconds until the first piece of text. */
-  readonly firstToken: number;
+  readonly timeToFirstToken: number;
 };
 
 /** Sends one prompt and prints the answer as it streams in. @public */
-export async function ask(
+export async function sendPrompt(
   address: string,
   options: {
     key: string;
@@ -18,7 +18,7 @@
     maxTokens?: number;
     print?: (text: string) => void;
   },
-): Promise<AskedAnswer> {
+): Promise<PromptResponse> {
   const startedAt = performance.now();
   const response = await request(`http://${address}/v1/chat/completions`, {
     method: "POST",
@@ -37,20 +37,20 @@
     throw new Error(`${response.statusCode} ${await response.body.text()}`);
   }
   let text = "";
-  let firstToken = 0;
+  let timeToFirstToken = 0;
   for await (const chunk of response.body) {
-    for (const piece of readPieces(String(chunk))) {
-      firstToken ||= performance.now() - startedAt;
+    for (const piece of readContent(String(chunk))) {
+      timeToFirstToken ||= performance.now() - startedAt;
       text += piece;
       options.print?.(piece);
     }
   }
   const requestId = String(response.headers["heroncleat-request"]);
   const upstream = String(response.headers["heroncleat-upstream"]);
-  return { text, requestId, upstream, firstToken };
+  return { text, requestId, upstream, timeToFirstToken };
 }
 
-function readPieces(chunk: string): string[] {
+function readContent(chunk: string): string[] {
   const pieces: string[] = [];
   for (const line of chunk.split("\n")) {
     if (!line.startsWith("data: {")) {
--- a/packages/local_deployment/start_deployment.ts
+++ b/packages/local_deployment/start_deployment.ts
@@ -21,17 +21,17 @@
   for (const { name, settingsFile } of deployment.controls) {
     group.start(name, {
       script: scripts.daemon,
-      words: ["--settings", settingsFile],
+      args: ["--settings", settingsFile],
     });
   }
   for (const { name, settingsFile } of deployment.entries) {
     group.start(name, {
       script: scripts.daemon,
-      words: ["--settings", settingsFile],
+      args: ["--settings", settingsFile],
     });
   }
   for (const { name, settingsFile } of deployment.upstreams) {
-    group.start(name, { script: scripts.standIn, words: [settingsFile] });
+    group.start(name, { script: scripts.standIn, args: [settingsFile] });
   }
   try {
     await setUpRouting(deployment);
--- a/packages/local_deployment/follow_answer.ts
+++ b/packages/local_deployment/stream_chat_completion.ts
@@ -1,9 +1,9 @@
 import { createParser, type EventSourceMessage } from "eventsource-parser";
 import { type Dispatcher, request } from "undici";
-import type { FollowedAnswer } from "./followed_answer.ts";
+import type { StreamedChatCompletion } from "./streamed_chat_completion.ts";
 
 /** What a caller sends, and where to. */
-type FollowOptions = {
+type StreamOptions = {
   /** Caller addresses; the next one is used when a connection breaks. */
   readonly entries: readonly string[];
   readonly key: string;
@@ -19,11 +19,11 @@
 type Progress = {
   requestId: string;
   text: string;
-  next: number;
+  nextId: number;
   misplaced: number;
   finishReason: string;
-  firstToken: number;
-  lastPieceAt: number;
+  timeToFirstToken: number;
+  lastChunkAt: number;
   readonly startedAt: number;
   readonly gaps: number[];
 };
@@ -37,17 +37,17 @@
  *
  * @public
  */
-export async function followAnswer(
-  options: FollowOptions,
-): Promise<FollowedAnswer> {
+export async function streamChatCompletion(
+  options: StreamOptions,
+): Promise<StreamedChatCompletion> {
   const progress: Progress = {
     requestId: "",
     text: "",
-    next: 0,
+    nextId: 0,
     misplaced: 0,
     finishReason: "",
-    firstToken: 0,
-    lastPieceAt: 0,
+    timeToFirstToken: 0,
+    lastChunkAt: 0,
     startedAt: performance.now(),
     gaps: [],
   };
@@ -76,7 +76,7 @@
   return report(progress, { status, run: "", refusal: "", reconnects });
 }
 
-function open(options: FollowOptions): Promise<Dispatcher.ResponseData> {
+function open(options: StreamOptions): Promise<Dispatcher.ResponseData> {
   return request(`http://${entryAt(options, 0)}/v1/chat/completions`, {
     method: "POST",
     headers: {
@@ -91,7 +91,7 @@
 }
 
 async function reconnect(
-  options: FollowOptions,
+  options: StreamOptions,
   progress: Progress,
   turn: number,
 ): Promise<void> {
@@ -99,8 +99,8 @@
   const headers: Record<string, string> = {
     authorization: `Bearer ${options.key}`,
   };
-  if (progress.next > 0) {
-    headers["last-event-id"] = String(progress.next - 1);
+  if (progress.nextId > 0) {
+    headers["last-event-id"] = String(progress.nextId - 1);
   }
   const response = await request(
     `http://${entryAt(options, turn)}/v1/requests/${id}`,
@@ -113,7 +113,7 @@
   await read(response, progress);
 }
 
-function entryAt(options: FollowOptions, turn: number): string {
+function entryAt(options: StreamOptions, turn: number): string {
   return options.entries[turn % options.entries.length]!;
 }
 
@@ -123,7 +123,7 @@
 ): Promise<void> {
   progress.requestId = String(response.headers["heroncleat-request"]);
   const parser = createParser({
-    onEvent: (event) => takeEvent(progress, event),
+    onEvent: (event) => handleEvent(progress, event),
   });
   const decoder = new TextDecoder();
   for await (const chunk of response.body) {
@@ -131,53 +131,56 @@
   }
 }
 
-function takeEvent(progress: Progress, event: EventSourceMessage): void {
+function handleEvent(progress: Progress, event: EventSourceMessage): void {
   if (event.event === "error" || event.data === "[DONE]") {
     return;
   }
   const choice = JSON.parse(event.data).choices?.[0];
   const text = choice?.delta?.content;
   if (typeof text === "string") {
-    takePiece(progress, { id: Number(event.id), text });
+    recordChunk(progress, { id: Number(event.id), text });
   }
   if (typeof choice?.finish_reason === "string") {
     progress.finishReason = choice.finish_reason;
   }
 }
 
-function takePiece(
+function recordChunk(
   progress: Progress,
   piece: { id: number; text: string },
 ): void {
   const now = performance.now();
-  if (piece.id !== progress.next) {
+  if (piece.id !== progress.nextId) {
     progress.misplaced += 1;
     return;
   }
   if (piece.id === 0) {
-    progress.firstToken = now - progress.startedAt;
+    progress.timeToFirstToken = now - progress.startedAt;
   } else {
-    progress.gaps.push(now - progress.lastPieceAt);
+    progress.gaps.push(now - progress.lastChunkAt);
   }
-  progress.lastPieceAt = now;
-  progress.next += 1;
+  progress.lastChunkAt = now;
+  progress.nextId += 1;
   progress.text += piece.text;
 }
 
 function report(
   progress: Progress,
-  ending: Pick<FollowedAnswer, "status" | "run" | "refusal" | "reconnects">,
-): FollowedAnswer {
-  const { requestId, text, next, misplaced } = progress;
-  const { finishReason, firstToken, gaps } = progress;
+  ending: Pick<
+    StreamedChatCompletion,
+    "status" | "run" | "refusal" | "reconnects"
+  >,
+): StreamedChatCompletion {
+  const { requestId, text, nextId, misplaced } = progress;
+  const { finishReason, timeToFirstToken, gaps } = progress;
   return {
     ...ending,
     requestId,
     text,
-    pieces: next,
+    pieces: nextId,
     misplaced,
     finishReason,
-    firstToken,
+    timeToFirstToken,
     gaps,
   };
 }
--- a/packages/local_deployment/followed_answer.ts
+++ b/packages/local_deployment/streamed_chat_completion.ts
@@ -1,5 +1,5 @@
 /** What a caller that reconnects has got of one answer. @public */
-export type FollowedAnswer = {
+export type StreamedChatCompletion = {
   /** HTTP status of the first answer. */
   readonly status: number;
   /** Whether a refusal said that the request was not run. */
@@ -14,7 +14,7 @@
   readonly finishReason: string;
   readonly reconnects: number;
   /** Milliseconds from sending to the first piece. */
-  readonly firstToken: number;
+  readonly timeToFirstToken: number;
   /** Milliseconds between pieces. */
   readonly gaps: readonly number[];
 };
--- a/packages/local_deployment/link_relay.ts
+++ b/packages/local_deployment/tcp_relay.ts
@@ -2,7 +2,7 @@
 import { splitAddress } from "@heroncleat/base";
 
 /** A connection through the relay. */
-type RelayedLink = {
+type RelayedConnection = {
   readonly source: string;
   readonly inbound: Socket;
   readonly outbound: Socket;
@@ -14,21 +14,21 @@
  *
  * @public
  */
-export class LinkRelay {
+export class TcpRelay {
   readonly #server: Server;
-  readonly #links = new Set<RelayedLink>();
-  readonly #cut = new Set<string>();
-  readonly #listenOn: string;
-  readonly #target: string;
+  readonly #connections = new Set<RelayedConnection>();
+  readonly #partitionedSources = new Set<string>();
+  readonly #listenAddress: string;
+  readonly #targetAddress: string;
 
   constructor(listenOn: string, target: string) {
-    this.#listenOn = listenOn;
-    this.#target = target;
+    this.#listenAddress = listenOn;
+    this.#targetAddress = target;
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
   listen(): Promise<void> {
-    const { host, port } = splitAddress(this.#listenOn);
+    const { host, port } = splitAddress(this.#listenAddress);
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
       this.#server.listen(port, host, resolve);
@@ -39,9 +39,9 @@
    * Stops passing bytes from one host, both ways and without a sign, as a
    * network partition does.
    */
-  cut(source: string): void {
-    this.#cut.add(source);
-    for (const link of this.#links) {
+  partition(source: string): void {
+    this.#partitionedSources.add(source);
+    for (const link of this.#connections) {
       if (link.source === source) {
         link.inbound.pause();
         link.outbound.pause();
@@ -51,17 +51,17 @@
 
   /** Passes bytes again; connections that were cut are closed. */
   heal(): void {
-    for (const link of this.#links) {
-      if (this.#cut.has(link.source)) {
+    for (const link of this.#connections) {
+      if (this.#partitionedSources.has(link.source)) {
         link.inbound.destroy();
         link.outbound.destroy();
       }
     }
-    this.#cut.clear();
+    this.#partitionedSources.clear();
   }
 
   close(): void {
-    for (const link of this.#links) {
+    for (const link of this.#connections) {
       link.inbound.destroy();
       link.outbound.destroy();
     }
@@ -70,12 +70,12 @@
 
   #accept(inbound: Socket): void {
     const source = inbound.remoteAddress ?? "";
-    const { host, port } = splitAddress(this.#target);
+    const { host, port } = splitAddress(this.#targetAddress);
     const outbound = connect({ host, port });
     const link = { source, inbound, outbound };
-    this.#links.add(link);
+    this.#connections.add(link);
     const end = () => {
-      this.#links.delete(link);
+      this.#connections.delete(link);
       inbound.destroy();
       outbound.destroy();
     };
@@ -86,7 +86,7 @@
     }
     inbound.on("data", (bytes) => outbound.write(bytes));
     outbound.on("data", (bytes) => inbound.write(bytes));
-    if (this.#cut.has(source)) {
+    if (this.#partitionedSources.has(source)) {
       inbound.pause();
       outbound.pause();
     }
--- a/packages/local_deployment/write_deployment.ts
+++ b/packages/local_deployment/write_deployment.ts
@@ -37,14 +37,15 @@
       formatPairs({ demo: operatorToken }),
     ),
   };
-  const replicas = addresses.controls.map((peer) => peer.advertised).join(", ");
-  const entryPeers = addresses.entries.map((peer) => peer.advertised);
+  const replicas = addresses.controls.map((peer) => peer.advertisedAddress)
+    .join(", ");
+  const entryPeers = addresses.entries.map((peer) => peer.advertisedAddress);
   const describe = (role: string, peer: typeof addresses.controls[number]) => ({
     name: peer.name,
     roles: role,
     zone: peer.zone,
-    peer_address: peer.peer,
-    advertised_peer_address: peer.advertised,
+    peer_address: peer.peerAddress,
+    advertised_peer_address: peer.advertisedAddress,
   });
   const controls = addresses.controls.map((peer) => {
     const dataFolder = join(plan.folder, "data", peer.name);
@@ -53,7 +54,7 @@
       formatSections({
         daemon: describe("control", peer),
         control: {
-          operator_address: peer.served,
+          operator_address: peer.serviceAddress,
           data_folder: dataFolder,
           replicas,
           entries: entryPeers.join(", "),
@@ -66,9 +67,9 @@
       name: peer.name,
       settingsFile,
       dataFolder,
-      operatorAddress: peer.served,
-      peerAddress: peer.peer,
-      advertisedAddress: peer.advertised,
+      operatorAddress: peer.serviceAddress,
+      peerAddress: peer.peerAddress,
+      advertisedAddress: peer.advertisedAddress,
     };
   });
   const entries = addresses.entries.map((peer) => {
@@ -77,7 +78,7 @@
       formatSections({
         daemon: describe("entry", peer),
         entry: {
-          caller_address: peer.served,
+          caller_address: peer.serviceAddress,
           seeds: entryPeers.slice(0, SEEDS).join(", "),
           control: replicas,
           ...plan.entrySettings,
@@ -90,9 +91,9 @@
       name: peer.name,
       zone: peer.zone,
       settingsFile,
-      callerAddress: peer.served,
-      peerAddress: peer.peer,
-      advertisedAddress: peer.advertised,
+      callerAddress: peer.serviceAddress,
+      peerAddress: peer.peerAddress,
+      advertisedAddress: peer.advertisedAddress,
     };
   });
   const upstreams = addresses.upstreams.map((upstream, place) => {
--- a/packages/soak/side_troubles.ts
+++ b/packages/soak/background_fault_scenarios.ts
@@ -1,10 +1,10 @@
 import type { Random } from "@heroncleat/base";
-import { drawTime } from "./draw_time.ts";
+import { randomDuration } from "./random_duration.ts";
 import type { Machine } from "./machine.ts";
 import { pause } from "./pause.ts";
 import { replaceUpstream } from "./replace_upstream.ts";
 import type { SoakDeployment } from "./soak_deployment.ts";
-import type { Trouble } from "./trouble.ts";
+import type { FaultScenario } from "./fault_scenario.ts";
 
 /** VMs that one machine bears beside its callers and upstreams. */
 const MOST_MACHINES = 18;
@@ -12,30 +12,30 @@
 const MOST_DELAY = 100;
 
 /** Time for which a caller repeats a request, and the pause between two. */
-const REPEATED_FOR = { least: 6000, spread: 8000 };
-const REPEAT_PAUSE = { least: 100, spread: 500 };
+const REPEATED_FOR = { min: 6000, spread: 8000 };
+const REPEAT_PAUSE = { min: 100, spread: 500 };
 /** Upstreams of eight that end at the same moment by themselves. */
 const MOST_CRASHED = 3;
 
 /** What may happen to one entry. */
-const entryTroubles: readonly ((
+const entryFaultScenarios: readonly ((
   deployment: SoakDeployment,
   random: Random,
   machine: Machine,
 ) => Promise<void>)[] = [
   async function kill(deployment, random, machine) {
     machine.signal("SIGKILL");
-    await pause(drawTime(random, { least: 300, spread: 1500 }));
+    await pause(randomDuration(random, { min: 300, spread: 1500 }));
     deployment.startMachine(machine);
   },
   async function freeze(_deployment, random, machine) {
     machine.signal("SIGSTOP");
-    await pause(drawTime(random, { least: 500, spread: 4000 }));
+    await pause(randomDuration(random, { min: 500, spread: 4000 }));
     machine.signal("SIGCONT");
   },
   async function silence(deployment, _random, machine) {
-    for (const { host } of deployment.controls()) {
-      deployment.proxy.silence(machine.host, host);
+    for (const { host } of deployment.replicaMachines()) {
+      deployment.proxy.blackhole(machine.host, host);
     }
   },
   async function reset(deployment, _random, machine) {
@@ -43,16 +43,16 @@
   },
   async function delay(deployment, random, machine) {
     deployment.proxy.delay(machine.host, MOST_DELAY * random());
-    await pause(drawTime(random, { least: 1000, spread: 2000 }));
+    await pause(randomDuration(random, { min: 1000, spread: 2000 }));
     deployment.proxy.delay(machine.host, 0);
   },
   async function stepClock(_deployment, random, machine) {
-    machine.inject({ clockAhead: Math.round((random() - 0.5) * 8000) });
-    await pause(drawTime(random, { least: 1000, spread: 3000 }));
-    machine.inject({});
+    machine.injectFaults({ clockAhead: Math.round((random() - 0.5) * 8000) });
+    await pause(randomDuration(random, { min: 1000, spread: 3000 }));
+    machine.injectFaults({});
   },
   async function suspend(_deployment, random, machine) {
-    await machine.suspend(drawTime(random, { least: 1000, spread: 8000 }));
+    await machine.suspend(randomDuration(random, { min: 1000, spread: 8000 }));
   },
 ];
 
@@ -61,11 +61,14 @@
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const plain = deployment.present().filter(({ hasDisk }) => !hasDisk);
+  const plain = deployment.activeMachines().filter(({ hasReplica }) =>
+    !hasReplica
+  );
   const machine = plain[Math.floor(random() * plain.length)];
-  const trouble = entryTroubles[Math.floor(random() * entryTroubles.length)]!;
+  const trouble =
+    entryFaultScenarios[Math.floor(random() * entryFaultScenarios.length)]!;
   if (machine !== undefined) {
-    const end = deployment.disturb(machine.host);
+    const end = deployment.beginDisturbance(machine.host);
     await trouble(deployment, random, machine);
     end();
   }
@@ -76,15 +79,15 @@
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  if (deployment.present().length >= MOST_MACHINES) {
+  if (deployment.activeMachines().length >= MOST_MACHINES) {
     return;
   }
   const at = Math.floor(random() * deployment.zones.length);
   const machine = deployment.addMachine(deployment.zones[at]!, {
-    hasControl: false,
-    hasDisk: false,
+    hasControlProcess: false,
+    hasReplica: false,
   });
-  deployment.disturb(machine.host)();
+  deployment.beginDisturbance(machine.host)();
   deployment.startMachine(machine);
 }
 
@@ -108,11 +111,11 @@
   random: Random,
 ): Promise<void> {
   const { crashing } = deployment;
-  const request = crashing.create({ isSingle: random() < 0.5 });
-  const until = performance.now() + drawTime(random, REPEATED_FOR);
+  const request = crashing.create({ isNonIdempotent: random() < 0.5 });
+  const until = performance.now() + randomDuration(random, REPEATED_FOR);
   while (performance.now() < until) {
     await crashing.send(request);
-    await pause(drawTime(random, REPEAT_PAUSE));
+    await pause(randomDuration(random, REPEAT_PAUSE));
   }
 }
 
@@ -123,13 +126,13 @@
 ): Promise<void> {
   const count = 1 + Math.floor(random() * MOST_CRASHED);
   for (let crashed = 0; crashed < count; crashed += 1) {
-    void deployment.drawUpstream()?.crash();
+    void deployment.pickUpstream()?.crash();
   }
   await pause(0);
 }
 
 /** Troubles that come at any moment beside the others. */
-export const sideTroubles: readonly Trouble[] = [
+export const backgroundFaultScenarios: readonly FaultScenario[] = [
   disturbEntry,
   disturbEntry,
   addEntry,
--- a/packages/soak/core_troubles.ts
+++ b/packages/soak/control_fault_scenarios.ts
@@ -1,19 +1,19 @@
 import type { Random } from "@heroncleat/base";
-import { drawTime } from "./draw_time.ts";
+import { randomDuration } from "./random_duration.ts";
 import type { Machine } from "./machine.ts";
 import { pause } from "./pause.ts";
 import { replaceUpstream } from "./replace_upstream.ts";
 import type { SoakDeployment } from "./soak_deployment.ts";
-import type { Trouble } from "./trouble.ts";
+import type { FaultScenario } from "./fault_scenario.ts";
 
 /** Time after a VM is back at which upstreams of its zone leave. */
-const LEAVE_AFTER_RETURN = { least: 0, spread: 4500 };
+const LEAVE_AFTER_RETURN = { min: 0, spread: 4500 };
 /** How long a VM is gone. */
-const AWAY = { least: 300, spread: 2500 };
+const AWAY = { min: 300, spread: 2500 };
 /** How long a VM stands still, is cut off or has a bad disk or clock. */
-const DISTURBED = { least: 1500, spread: 4000 };
+const DISTURBED = { min: 1500, spread: 4000 };
 /** How long all replicas are gone. */
-const ALL_AWAY = { least: 200, spread: 600 };
+const ALL_AWAY = { min: 200, spread: 600 };
 
 /**
  * The replica that has just acknowledged a leave is lost, and entries start
@@ -23,18 +23,18 @@
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const zone = deployment.drawUpstream()?.zone;
+  const zone = deployment.pickUpstream()?.zone;
   const leave = await replaceUpstream(deployment, random, { zone });
-  const machine = deployment.present().find(({ operatorAddress }) =>
+  const machine = deployment.activeMachines().find(({ operatorAddress }) =>
     operatorAddress === leave?.by
   );
   if (machine === undefined || zone === undefined) {
     return;
   }
-  const end = deployment.disturbCore(machine.host);
+  const end = deployment.beginControlDisturbance(machine.host);
   const isWhole = random() < 0.5;
   machine.signal("SIGKILL", isWhole ? machine.roles : ["control"]);
-  await pause(drawTime(random, { least: 300, spread: 1000 }));
+  await pause(randomDuration(random, { min: 300, spread: 1000 }));
   deployment.startMachine(machine);
   end();
   await restartEntries(deployment, random, zone);
@@ -46,16 +46,16 @@
   random: Random,
   zone: string,
 ): Promise<void> {
-  const entries = deployment.present().filter((machine) =>
-    machine.zone === zone && !machine.hasDisk
+  const entries = deployment.activeMachines().filter((machine) =>
+    machine.zone === zone && !machine.hasReplica
   );
   for (const machine of entries) {
     if (random() < 0.5) {
-      const end = deployment.disturb(machine.host);
+      const end = deployment.beginDisturbance(machine.host);
       const isOrderly = random() < 0.3;
       machine.signal(isOrderly ? "SIGTERM" : "SIGKILL");
-      await machine.ended();
-      await pause(drawTime(random, { least: 0, spread: 600 }));
+      await machine.waitForExit();
+      await pause(randomDuration(random, { min: 0, spread: 600 }));
       deployment.startMachine(machine);
       end();
     }
@@ -68,12 +68,14 @@
   random: Random,
 ): Promise<void> {
   await replaceUpstream(deployment, random);
-  const machines = deployment.controls();
-  const ends = machines.map(({ host }) => deployment.disturbCore(host));
+  const machines = deployment.replicaMachines();
+  const ends = machines.map(({ host }) =>
+    deployment.beginControlDisturbance(host)
+  );
   for (const machine of machines) {
     machine.signal("SIGKILL", ["control"]);
   }
-  await pause(drawTime(random, ALL_AWAY));
+  await pause(randomDuration(random, ALL_AWAY));
   for (const machine of machines) {
     deployment.startMachine(machine);
   }
@@ -91,11 +93,11 @@
     machine,
     disturb: async () => {
       machine.signal("SIGKILL");
-      await machine.ended();
+      await machine.waitForExit();
       if (losesDisk) {
-        machine.wipe();
+        machine.wipeDisk();
       }
-      await pause(drawTime(random, AWAY));
+      await pause(randomDuration(random, AWAY));
     },
     restore: () => deployment.startMachine(machine),
   });
@@ -123,7 +125,9 @@
   random: Random,
 ): Promise<void> {
   const machine = drawControl(deployment, random);
-  const others = random() < 0.5 ? deployment.controls() : deployment.present();
+  const others = random() < 0.5
+    ? deployment.replicaMachines()
+    : deployment.activeMachines();
   const isOneWay = random() < 0.3;
   const pairs: [string, string][] = [];
   for (const { host } of others.filter((each) => each !== machine)) {
@@ -135,7 +139,7 @@
   await disturbOne(deployment, random, {
     machine,
     disturb: async () => {
-      pairs.forEach(([from, to]) => deployment.proxy.cut(from, to));
+      pairs.forEach(([from, to]) => deployment.proxy.partition(from, to));
       await leaveMeanwhile(deployment, random);
     },
     restore: () =>
@@ -154,10 +158,10 @@
   await disturbOne(deployment, random, {
     machine,
     disturb: async () => {
-      machine.inject(faults);
+      machine.injectFaults(faults);
       await leaveMeanwhile(deployment, random);
     },
-    restore: () => machine.inject({}),
+    restore: () => machine.injectFaults({}),
   });
 }
 
@@ -171,10 +175,10 @@
   await disturbOne(deployment, random, {
     machine,
     disturb: async () => {
-      machine.inject({ clockAhead });
+      machine.injectFaults({ clockAhead });
       await leaveMeanwhile(deployment, random);
     },
-    restore: () => machine.inject({}),
+    restore: () => machine.injectFaults({}),
   });
 }
 
@@ -185,25 +189,25 @@
 ): Promise<void> {
   const machine = drawControl(deployment, random);
   const isPlanned = random() < 0.4;
-  const end = deployment.disturbCore(machine.host);
+  const end = deployment.beginControlDisturbance(machine.host);
   if (!isPlanned) {
     machine.signal("SIGKILL");
-    machine.goneAt = performance.now();
-    await pause(drawTime(random, AWAY));
+    machine.removedAt = performance.now();
+    await pause(randomDuration(random, AWAY));
   }
   const next = deployment.addMachine(machine.zone, {
-    hasControl: true,
-    hasDisk: true,
+    hasControlProcess: true,
+    hasReplica: true,
   });
   deployment.startMachine(next);
   if (isPlanned) {
-    await pause(drawTime(random, { least: 1500, spread: 1500 }));
+    await pause(randomDuration(random, { min: 1500, spread: 1500 }));
     machine.signal("SIGTERM");
-    await machine.ended();
-    machine.goneAt = performance.now();
+    await machine.waitForExit();
+    machine.removedAt = performance.now();
   }
   end();
-  deployment.disturb(next.host)();
+  deployment.beginDisturbance(next.host)();
   await leaveAfterReturn(deployment, random, next);
 }
 
@@ -212,18 +216,18 @@
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  for (const machine of deployment.present()) {
+  for (const machine of deployment.activeMachines()) {
     if (random() < 0.6) {
       continue;
     }
-    const end = machine.hasDisk
-      ? deployment.disturbCore(machine.host)
-      : deployment.disturb(machine.host);
+    const end = machine.hasReplica
+      ? deployment.beginControlDisturbance(machine.host)
+      : deployment.beginDisturbance(machine.host);
     machine.signal("SIGTERM");
     const leaving = random() < 0.4
       ? replaceUpstream(deployment, random)
       : undefined;
-    await machine.ended();
+    await machine.waitForExit();
     deployment.startMachine(machine);
     end();
     await leaving;
@@ -231,7 +235,7 @@
 }
 
 /** Troubles of the core come one at a time; they must leave it time. */
-export const coreTroubles: readonly Trouble[] = [
+export const controlFaultScenarios: readonly FaultScenario[] = [
   loseAcknowledger,
   killAllControls,
   killCore,
@@ -253,7 +257,7 @@
     restore: () => void;
   },
 ): Promise<void> {
-  const end = deployment.disturbCore(machine.host);
+  const end = deployment.beginControlDisturbance(machine.host);
   await disturb();
   restore();
   end();
@@ -264,9 +268,9 @@
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  await pause(drawTime(random, { least: 0, spread: 1500 }));
+  await pause(randomDuration(random, { min: 0, spread: 1500 }));
   const leaving = replaceUpstream(deployment, random);
-  await pause(drawTime(random, DISTURBED));
+  await pause(randomDuration(random, DISTURBED));
   // One that finds no replica tries for seconds, longer than the trouble is.
   void leaving;
 }
@@ -276,11 +280,11 @@
   random: Random,
   { zone }: Machine,
 ): Promise<void> {
-  await pause(drawTime(random, LEAVE_AFTER_RETURN));
+  await pause(randomDuration(random, LEAVE_AFTER_RETURN));
   await replaceUpstream(deployment, random, { zone });
 }
 
 function drawControl(deployment: SoakDeployment, random: Random): Machine {
-  const controls = deployment.controls();
+  const controls = deployment.replicaMachines();
   return controls[Math.floor(random() * controls.length)]!;
 }
--- a/packages/soak/crashing_requests.ts
+++ b/packages/soak/crashing_requests.ts
@@ -1,17 +1,20 @@
 import type { Milliseconds, Random } from "@heroncleat/base";
-import { callOnce } from "./call_once.ts";
+import { sendHttpRequest } from "./send_http_request.ts";
 import type { SoakDocument } from "./soak_document.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
 /** Part of the path of requests that end each upstream that runs them. */
-const MARK = "crashes-";
-const TIMEOUT: Milliseconds = 3000;
+const PATH_MARKER = "crashes-";
+const REQUEST_TIMEOUT: Milliseconds = 3000;
 
 /** A request that ends each upstream that runs it. */
-type CrashingRequest = { readonly path: string; readonly isSingle: boolean };
+type CrashingRequest = {
+  readonly path: string;
+  readonly isNonIdempotent: boolean;
+};
 
-type CrashingOptions = {
-  readonly wire: SoakWire;
+type CrashingRequestsOptions = {
+  readonly adapter: ProgramAdapter;
   readonly random: Random;
   readonly document: () => SoakDocument;
   /** Callers' addresses of the entries. */
@@ -20,46 +23,49 @@
 
 /** Makes and sends requests that end upstreams. */
 export class CrashingRequests {
-  readonly #options: CrashingOptions;
-  #made = 0;
-  #sent = 0;
+  readonly #options: CrashingRequestsOptions;
+  #createdCount = 0;
+  #sentCount = 0;
 
-  constructor(options: CrashingOptions) {
+  constructor(options: CrashingRequestsOptions) {
     this.#options = options;
   }
 
   /** Whether a request is one of them. */
-  ends(path: string): boolean {
-    return path.includes(MARK);
+  isCrashing(path: string): boolean {
+    return path.includes(PATH_MARKER);
   }
 
   /** One unlike any before. */
-  create({ isSingle }: { isSingle: boolean }): CrashingRequest {
-    const { singlePrefix, repeatablePrefix } = this.#options.document();
-    this.#made += 1;
-    const prefix = isSingle ? singlePrefix : repeatablePrefix;
-    return { path: `${prefix}${MARK}${this.#made}`, isSingle };
+  create({ isNonIdempotent }: { isNonIdempotent: boolean }): CrashingRequest {
+    const { nonIdempotentPrefix, idempotentPrefix } = this.#options.document();
+    this.#createdCount += 1;
+    const prefix = isNonIdempotent ? nonIdempotentPrefix : idempotentPrefix;
+    return {
+      path: `${prefix}${PATH_MARKER}${this.#createdCount}`,
+      isNonIdempotent,
+    };
   }
 
   /** Sends it to one entry, drawn anew each time. */
-  async send({ path, isSingle }: CrashingRequest): Promise<void> {
-    const { wire, random, document, listEntries } = this.#options;
+  async send({ path, isNonIdempotent }: CrashingRequest): Promise<void> {
+    const { adapter, random, document, listEntries } = this.#options;
     const entries = listEntries();
     const entry = entries[Math.floor(random() * entries.length)];
-    this.#sent += 1;
+    this.#sentCount += 1;
     if (entry === undefined) {
       return;
     }
-    await callOnce(entry, {
-      method: isSingle ? "POST" : "GET",
+    await sendHttpRequest(entry, {
+      method: isNonIdempotent ? "POST" : "GET",
       path,
-      body: isSingle ? "the same each time" : "",
+      body: isNonIdempotent ? "the same each time" : "",
       headers: {
         host: document().host,
-        [wire.headers.attempt]: `crashing-${this.#sent}`,
-        [wire.headers.timeLeft]: `${TIMEOUT}`,
+        [adapter.headers.attempt]: `crashing-${this.#sentCount}`,
+        [adapter.headers.timeLeft]: `${REQUEST_TIMEOUT}`,
       },
-      timeout: TIMEOUT,
+      timeout: REQUEST_TIMEOUT,
     });
   }
 }
--- a/packages/soak/calm.ts
+++ b/packages/soak/disturbance_log.ts
@@ -8,13 +8,13 @@
  * disturbed. What is promised within a bound is promised by VMs that have been
  * calm for a while: a process that was just killed can't keep a time.
  */
-export class Calm {
+export class DisturbanceLog {
   readonly #disturbances = new Map<string, Disturbance[]>();
   /** How long something must have been calm. */
-  readonly #needed: Milliseconds;
+  readonly #requiredTime: Milliseconds;
 
   constructor(needed: Milliseconds) {
-    this.#needed = needed;
+    this.#requiredTime = needed;
   }
 
   /** Notes that something begins to be disturbed; ends when told so. */
@@ -26,9 +26,9 @@
   }
 
   /** Whether something was calm at a time and for long enough before. */
-  wasCalm(what: string, at: Milliseconds): boolean {
+  wasUndisturbed(what: string, at: Milliseconds): boolean {
     for (const { from, until } of this.#disturbances.get(what) ?? []) {
-      if (from <= at && until > at - this.#needed) {
+      if (from <= at && until > at - this.#requiredTime) {
         return false;
       }
     }
@@ -36,7 +36,7 @@
   }
 
   /** Time since something was last disturbed. */
-  calmFor(what: string, at: Milliseconds): Milliseconds {
+  undisturbedTime(what: string, at: Milliseconds): Milliseconds {
     let calm = Infinity;
     for (const { from, until } of this.#disturbances.get(what) ?? []) {
       if (from <= at) {
--- a/packages/soak/link_proxy.ts
+++ b/packages/soak/link_proxy.ts
@@ -7,23 +7,23 @@
 const TICKETS = 60_000;
 
 /** Two hosts, the one that connects first. */
-type LinkEnds = { readonly from: string; readonly to: string };
+type LinkEndpoints = { readonly from: string; readonly to: string };
 
 /** What a link does to bytes in one direction. */
-type Flow = "passing" | "held" | "lost";
+type FlowState = "passing" | "held" | "lost";
 
 /** One connection by way of the proxy. */
 class Link {
-  readonly ends: LinkEnds;
+  readonly endpoints: LinkEndpoints;
   readonly #delay: () => Milliseconds;
-  readonly #halves: { near: Socket | undefined; far: Socket };
+  readonly #sockets: { near: Socket | undefined; far: Socket };
   /** Bytes on their way, oldest first, from the near and the far half. */
   readonly #queues = { near: [] as Buffer[], far: [] as Buffer[] };
-  readonly #flows: { near: Flow; far: Flow } = {
+  readonly #flows: { near: FlowState; far: FlowState } = {
     near: "passing",
     far: "passing",
   };
-  readonly #ended = new Set<"near" | "far">();
+  readonly #closedSides = new Set<"near" | "far">();
   /** When the last bytes of a half are passed on. */
   readonly #dueAt: { near: Milliseconds; far: Milliseconds } = {
     near: 0,
@@ -31,30 +31,30 @@
   };
 
   constructor(
-    ends: LinkEnds,
+    endpoints: LinkEndpoints,
     options: { far: Socket; delay: () => Milliseconds },
   ) {
-    this.ends = ends;
+    this.endpoints = endpoints;
     this.#delay = options.delay;
-    this.#halves = { near: undefined, far: options.far };
+    this.#sockets = { near: undefined, far: options.far };
     this.#watch("far", options.far);
   }
 
   /** Whether nothing can come over it any more. */
-  get isOver(): boolean {
-    return this.#ended.size === 2;
+  get isClosed(): boolean {
+    return this.#closedSides.size === 2;
   }
 
   /** Takes the half of the process that connects. */
   attach(near: Socket): void {
-    this.#halves.near = near;
+    this.#sockets.near = near;
     this.#watch("near", near);
     this.#flush("far");
   }
 
   /** Sets what happens to bytes that one host sends. */
-  setFlow(sender: string, flow: Flow): void {
-    const side = sender === this.ends.from ? "near" : "far";
+  setFlow(sender: string, flow: FlowState): void {
+    const side = sender === this.endpoints.from ? "near" : "far";
     if (this.#flows[side] !== "lost") {
       this.#flows[side] = flow;
       this.#flush(side);
@@ -63,10 +63,10 @@
 
   /** Breaks it so that both ends notice. */
   reset(): void {
-    for (const socket of [this.#halves.near, this.#halves.far]) {
+    for (const socket of [this.#sockets.near, this.#sockets.far]) {
       socket?.resetAndDestroy();
     }
-    this.#ended.add("near").add("far");
+    this.#closedSides.add("near").add("far");
   }
 
   #watch(side: "near" | "far", socket: Socket): void {
@@ -88,21 +88,21 @@
     });
     socket.on("error", () => {});
     socket.on("close", () => {
-      this.#ended.add(side);
+      this.#closedSides.add(side);
       this.#flush(side);
     });
   }
 
   /** Passes on what one half has sent, and then its end. */
   #flush(side: "near" | "far"): void {
-    const other = side === "near" ? this.#halves.far : this.#halves.near;
+    const other = side === "near" ? this.#sockets.far : this.#sockets.near;
     if (this.#flows[side] !== "passing" || other === undefined) {
       return;
     }
     for (const bytes of this.#queues[side].splice(0)) {
       other.write(bytes);
     }
-    if (this.#ended.has(side) && !other.destroyed) {
+    if (this.#closedSides.has(side) && !other.destroyed) {
       other.end();
       other.destroySoon();
     }
@@ -119,13 +119,13 @@
   readonly #port: number;
   readonly #server: Server;
   readonly #links = new Set<Link>();
-  readonly #tickets = new Map<string, Link>();
+  readonly #unclaimedLinks = new Map<string, Link>();
   /** Cut directions, as "from to". */
-  readonly #cuts = new Set<string>();
+  readonly #partitions = new Set<string>();
   /** Links that are to be opened once their cut is over. */
-  readonly #waiting = new Map<Socket, () => void>();
+  readonly #pendingConnects = new Map<Socket, () => void>();
   readonly #delays = new Map<string, Milliseconds>();
-  #nextTicket = 0;
+  #addressCounter = 0;
 
   constructor(port: number) {
     this.#port = port;
@@ -154,22 +154,22 @@
   }
 
   /** Holds back what one host sends another; new links hang. */
-  cut(from: string, to: string): void {
-    this.#cuts.add(`${from} ${to}`);
+  partition(from: string, to: string): void {
+    this.#partitions.add(`${from} ${to}`);
     this.#setFlows({ from, to }, "held");
   }
 
   /** Ends all cuts from one host to another; what was held arrives. */
   heal(from: string, to: string): void {
-    this.#cuts.delete(`${from} ${to}`);
+    this.#partitions.delete(`${from} ${to}`);
     this.#setFlows({ from, to }, "passing");
-    for (const open of [...this.#waiting.values()]) {
+    for (const open of [...this.#pendingConnects.values()]) {
       open();
     }
   }
 
   /** Lets open links between two hosts fall silent for good. */
-  silence(left: string, right: string): void {
+  blackhole(left: string, right: string): void {
     this.#setFlows({ from: left, to: right }, "lost");
     this.#setFlows({ from: right, to: left }, "lost");
   }
@@ -177,7 +177,7 @@
   /** Resets the open links of a host. */
   reset(host: string): void {
     for (const link of [...this.#links]) {
-      if (link.ends.from === host || link.ends.to === host) {
+      if (link.endpoints.from === host || link.endpoints.to === host) {
         link.reset();
         this.#links.delete(link);
       }
@@ -189,11 +189,11 @@
     this.#delays.set(host, time);
   }
 
-  #setFlows({ from, to }: LinkEnds, flow: Flow): void {
+  #setFlows({ from, to }: LinkEndpoints, flow: FlowState): void {
     for (const link of this.#links) {
-      const { ends } = link;
-      const isBetween = (ends.from === from && ends.to === to) ||
-        (ends.from === to && ends.to === from);
+      const { endpoints } = link;
+      const isBetween = (endpoints.from === from && endpoints.to === to) ||
+        (endpoints.from === to && endpoints.to === from);
       if (isBetween) {
         link.setFlow(from, flow);
       }
@@ -203,9 +203,9 @@
   #accept(socket: Socket): void {
     socket.on("error", () => {});
     const ticket = socket.localAddress ?? "";
-    const link = this.#tickets.get(ticket);
+    const link = this.#unclaimedLinks.get(ticket);
     if (link !== undefined) {
-      this.#tickets.delete(ticket);
+      this.#unclaimedLinks.delete(ticket);
       link.attach(socket);
       return;
     }
@@ -224,11 +224,17 @@
     { from, target }: { from: string; target: string },
   ): void {
     const { host: to, port } = splitAddress(target);
-    if (this.#cuts.has(`${from} ${to}`) || this.#cuts.has(`${to} ${from}`)) {
-      this.#waiting.set(asking, () => this.#open(asking, { from, target }));
+    if (
+      this.#partitions.has(`${from} ${to}`) ||
+      this.#partitions.has(`${to} ${from}`)
+    ) {
+      this.#pendingConnects.set(
+        asking,
+        () => this.#open(asking, { from, target }),
+      );
       return;
     }
-    this.#waiting.delete(asking);
+    this.#pendingConnects.delete(asking);
     if (asking.destroyed) {
       return;
     }
@@ -238,8 +244,8 @@
       const delay = () => this.#delayOf(from) + this.#delayOf(to);
       const link = new Link({ from, to }, { far, delay });
       this.#links.add(link);
-      this.#forgetEnded();
-      asking.end(`${this.#issueTicket(link)}\n`);
+      this.#removeClosed();
+      asking.end(`${this.#assignAddress(link)}\n`);
     });
   }
 
@@ -247,18 +253,18 @@
     return this.#delays.get(host) ?? 0;
   }
 
-  #issueTicket(link: Link): string {
-    this.#nextTicket = (this.#nextTicket + 1) % TICKETS;
-    const high = Math.floor(this.#nextTicket / 250);
-    const low = 1 + this.#nextTicket % 250;
+  #assignAddress(link: Link): string {
+    this.#addressCounter = (this.#addressCounter + 1) % TICKETS;
+    const high = Math.floor(this.#addressCounter / 250);
+    const low = 1 + this.#addressCounter % 250;
     const ticket = `${TICKET_NETWORK}.${high}.${low}`;
-    this.#tickets.set(ticket, link);
+    this.#unclaimedLinks.set(ticket, link);
     return ticket;
   }
 
-  #forgetEnded(): void {
+  #removeClosed(): void {
     for (const link of this.#links) {
-      if (link.isOver) {
+      if (link.isClosed) {
         this.#links.delete(link);
       }
     }
--- a/packages/soak/machine.ts
+++ b/packages/soak/machine.ts
@@ -11,7 +11,7 @@
 import type { Milliseconds } from "@heroncleat/base";
 import { pause } from "./pause.ts";
 import type { MachinePlan } from "./machine_plan.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
 /** Preloaded into each process; see the files. */
 const PRELOADED = ["redirect_sockets.mjs", "inject_faults.mjs"].flatMap(
@@ -35,19 +35,19 @@
   readonly name: string;
   readonly zone: string;
   readonly host: string;
-  readonly hasControl: boolean;
+  readonly hasControlProcess: boolean;
   /** Whether its control process holds a replica; else it passes calls on. */
-  readonly hasDisk: boolean;
+  readonly hasReplica: boolean;
   /** When its entry last began to run. */
   startedAt: Milliseconds = 0;
   /** From when on others know of it; later than it starts if it was added. */
-  readonly listedFrom: Milliseconds;
+  readonly discoverableFrom: Milliseconds;
   /** When it went for good. */
-  goneAt: Milliseconds = Infinity;
-  readonly #wire: SoakWire;
+  removedAt: Milliseconds = Infinity;
+  readonly #adapter: ProgramAdapter;
   readonly #folder: string;
-  readonly #proxy: string;
-  #isRetired = false;
+  readonly #proxyAddress: string;
+  #areStartsPrevented = false;
   readonly #processes = new Map<Role, ChildProcess>();
   /** In all, since the soak began. */
   #suspendedFor: Milliseconds = 0;
@@ -57,55 +57,55 @@
       name: string;
       zone: string;
       host: string;
-      hasControl: boolean;
-      hasDisk: boolean;
-      listedFrom: Milliseconds;
+      hasControlProcess: boolean;
+      hasReplica: boolean;
+      discoverableFrom: Milliseconds;
     },
-    options: { wire: SoakWire; folder: string; proxy: string },
+    options: { adapter: ProgramAdapter; folder: string; proxyAddress: string },
   ) {
     this.name = plan.name;
     this.zone = plan.zone;
     this.host = plan.host;
-    this.hasControl = plan.hasControl;
-    this.hasDisk = plan.hasDisk;
-    this.listedFrom = plan.listedFrom;
-    this.#wire = options.wire;
+    this.hasControlProcess = plan.hasControlProcess;
+    this.hasReplica = plan.hasReplica;
+    this.discoverableFrom = plan.discoverableFrom;
+    this.#adapter = options.adapter;
     this.#folder = options.folder;
-    this.#proxy = options.proxy;
+    this.#proxyAddress = options.proxyAddress;
   }
 
-  get isGone(): boolean {
-    return this.goneAt < Infinity;
+  get isRemoved(): boolean {
+    return this.removedAt < Infinity;
   }
 
   get roles(): readonly Role[] {
-    return this.hasControl ? ["control", "entry"] : ["entry"];
+    return this.hasControlProcess ? ["control", "entry"] : ["entry"];
   }
 
   /** Address at which operators and upstreams reach its control process. */
   get operatorAddress(): string {
-    return `${this.host}:${this.#wire.ports.operators}`;
+    return `${this.host}:${this.#adapter.ports.operators}`;
   }
 
   get callerAddress(): string {
-    return `${this.host}:${this.#wire.ports.callers}`;
+    return `${this.host}:${this.#adapter.ports.callers}`;
   }
 
   get lookupAddress(): string {
-    return `${this.host}:${this.#wire.ports.lookups}`;
+    return `${this.host}:${this.#adapter.ports.lookups}`;
   }
 
   /** Starts nothing any more. */
-  retire(): void {
-    this.#isRetired = true;
+  preventStarts(): void {
+    this.#areStartsPrevented = true;
   }
 
   /** Starts those of its processes that don't run. */
   start(options: { seeds: readonly string[]; isFirstStart: boolean }): void {
-    if (this.#isRetired) {
+    if (this.#areStartsPrevented) {
       return;
     }
-    const dataFolder = this.hasDisk ? this.#dataFolder : undefined;
+    const dataFolder = this.hasReplica ? this.#dataFolder : undefined;
     if (dataFolder !== undefined) {
       mkdirSync(dataFolder, { recursive: true });
     }
@@ -117,7 +117,7 @@
       ...options,
     };
     const file = join(this.#folder, `${this.name}.json`);
-    writeFileSync(file, this.#wire.writeSettings(plan));
+    writeFileSync(file, this.#adapter.writeSettings(plan));
     for (const role of this.roles) {
       if (!this.#isRunning(role)) {
         this.#spawn(role, file);
@@ -132,7 +132,7 @@
   }
 
   /** Sets what is wrong with its disk and clock, within 0.1 s. */
-  inject(faults: InjectedFaults): void {
+  injectFaults(faults: InjectedFaults): void {
     // A reader sees the old file or the new one.
     const content = { suspendedFor: this.#suspendedFor, ...faults };
     writeFileSync(`${this.#faultsFile}.new`, JSON.stringify(content));
@@ -145,19 +145,19 @@
     const stoppedAt = performance.now();
     await pause(time);
     this.#suspendedFor += performance.now() - stoppedAt;
-    this.inject({});
+    this.injectFaults({});
     this.signal("SIGCONT");
   }
 
   /** Resolves once all its processes have ended. */
-  async ended(): Promise<void> {
+  async waitForExit(): Promise<void> {
     while (this.roles.some((role) => this.#isRunning(role))) {
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
   }
 
   /** Empties its disk; its processes must have ended. */
-  wipe(): void {
+  wipeDisk(): void {
     rmSync(this.#dataFolder, { recursive: true, force: true });
   }
 
@@ -180,15 +180,15 @@
       this.startedAt = performance.now();
     }
     const log = openSync(join(this.#folder, `${this.name}-${role}.log`), "a");
-    const words = [...PRELOADED, ...this.#wire.command(role)];
+    const words = [...PRELOADED, ...this.#adapter.command(role)];
     const child = spawn(process.execPath, words, {
       stdio: ["ignore", log, log],
       env: {
         PATH: process.env["PATH"],
-        SOAK_PROXY: this.#proxy,
+        SOAK_PROXY: this.#proxyAddress,
         SOAK_HOST: this.host,
         SOAK_FAULTS: this.#faultsFile,
-        [this.#wire.settingsVariable]: settingsFile,
+        [this.#adapter.settingsVariable]: settingsFile,
       },
     });
     closeSync(log);
--- a/packages/soak/mod.ts
+++ b/packages/soak/mod.ts
@@ -9,5 +9,5 @@
 export type { SoakReport } from "./run_soak.ts";
 export type { MachinePlan } from "./machine_plan.ts";
 export type { SoakDocument } from "./soak_document.ts";
-export type { SoakWire } from "./soak_wire.ts";
+export type { ProgramAdapter } from "./program_adapter.ts";
 export type { UpstreamReport } from "./upstream_report.ts";
--- a/packages/soak/soak_wire.ts
+++ b/packages/soak/program_adapter.ts
@@ -3,7 +3,7 @@
 import type { UpstreamReport } from "./upstream_report.ts";
 
 /** A call with a JSON body. */
-type WireCall = {
+type AdapterCall = {
   readonly method: string;
   readonly path: string;
   readonly body: string;
@@ -15,7 +15,7 @@
  *
  * @public
  */
-export type SoakWire = {
+export type ProgramAdapter = {
   /** The program and its words for a role. */
   readonly command: (role: "entry" | "control") => readonly string[];
   /** Variable that holds the path of the settings file. */
@@ -26,15 +26,15 @@
     readonly lookups: number;
     readonly operators: number;
   };
-  readonly publish: (document: SoakDocument) => WireCall;
-  readonly readDocument: WireCall;
+  readonly publish: (document: SoakDocument) => AdapterCall;
+  readonly readDocument: AdapterCall;
   /** The version of a configuration that was read. */
-  readonly versionOf: (body: string) => number;
-  readonly heartbeat: (report: UpstreamReport) => WireCall;
-  readonly departure: (name: string) => WireCall;
+  readonly parseVersion: (body: string) => number;
+  readonly heartbeat: (report: UpstreamReport) => AdapterCall;
+  readonly departure: (name: string) => AdapterCall;
   readonly lookup: (options: { host: string; zone: string }) => string;
   /** Addresses of entries that a lookup names. */
-  readonly addressesOf: (body: string) => readonly string[];
+  readonly parseAddresses: (body: string) => readonly string[];
   readonly headers: {
     readonly attempt: string;
     readonly timeLeft: string;
--- a/packages/soak/draw_time.ts
+++ b/packages/soak/random_duration.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds, Random } from "@heroncleat/base";
 
 /** A time between a least one and so much more. */
-export function drawTime(
+export function randomDuration(
   random: Random,
-  { least, spread }: { least: Milliseconds; spread: Milliseconds },
+  { min, spread }: { min: Milliseconds; spread: Milliseconds },
 ): Milliseconds {
-  return least + random() * spread;
+  return min + random() * spread;
 }
--- a/packages/soak/arrival.ts
+++ b/packages/soak/received_request.ts
@@ -1,13 +1,13 @@
 import type { Milliseconds } from "@heroncleat/base";
 
 /** A request as it reached an upstream. */
-export type Arrival = {
+export type ReceivedRequest = {
   readonly attempt: string;
   readonly upstream: string;
   /** Host of the entry that sent it. */
   readonly from: string;
   readonly at: Milliseconds;
-  readonly isSingle: boolean;
+  readonly isNonIdempotent: boolean;
   /** Path and query. */
   readonly target: string;
 };
--- a/packages/soak/answer_of.ts
+++ b/packages/soak/response_body.ts
@@ -1,4 +1,4 @@
 /** The body that belongs to one attempt at one upstream. */
-export function answerOf(attempt: string, upstream: string): string {
+export function responseBody(attempt: string, upstream: string): string {
   return `${attempt} at ${upstream}`;
 }
--- a/packages/soak/run_soak.ts
+++ b/packages/soak/run_soak.ts
@@ -5,16 +5,16 @@
 } from "@heroncleat/base";
 import { SoakDeployment } from "./soak_deployment.ts";
 import type { Finding } from "./finding.ts";
-import type { SoakWire } from "./soak_wire.ts";
-import { coreTroubles } from "./core_troubles.ts";
-import { drawTime } from "./draw_time.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
+import { controlFaultScenarios } from "./control_fault_scenarios.ts";
+import { randomDuration } from "./random_duration.ts";
 import { pause } from "./pause.ts";
-import { sideTroubles } from "./side_troubles.ts";
+import { backgroundFaultScenarios } from "./background_fault_scenarios.ts";
 
 /** Time without another loss in the core, so that one is lost at once. */
 const CATCH_UP: Milliseconds = 4500;
 /** Pause between troubles beside those of the core. */
-const SIDE_PAUSE = { least: 300, spread: 1500 };
+const SIDE_PAUSE = { min: 300, spread: 1500 };
 /** Calm time at the end in which everything must be served again. */
 const RECOVERY_TIME: Milliseconds = 8000;
 const MEASURED_TIME: Milliseconds = 4000;
@@ -34,7 +34,7 @@
   readonly troubles: Readonly<Record<string, number>>;
   readonly leaves: number;
   /** Latest request after an acknowledged leave: from calm VMs, from any. */
-  readonly latest: { readonly calm: number; readonly any: number };
+  readonly latest: { readonly undisturbed: number; readonly any: number };
   /** Upstreams that ended under each request that ends them. */
   readonly crashes: readonly number[];
   /** Requests by status; 0 where no whole answer came. */
@@ -54,7 +54,7 @@
 export async function runSoak(options: {
   seed: number;
   duration: Milliseconds;
-  wire: SoakWire;
+  adapter: ProgramAdapter;
   folder: string;
   /** Number among the soaks that run at once; each uses other addresses. */
   slot: number;
@@ -81,7 +81,10 @@
     troubles: played,
     leaves,
     crashes,
-    latest: { calm: Math.round(latest.calm), any: Math.round(latest.any) },
+    latest: {
+      undisturbed: Math.round(latest.undisturbed),
+      any: Math.round(latest.any),
+    },
     outcomes: Object.fromEntries(deployment.outcomes),
   };
 }
@@ -134,9 +137,9 @@
   { until, note, random }: TroubleOptions,
 ): Promise<void> {
   while (performance.now() < until) {
-    const at = Math.floor(random() * coreTroubles.length);
-    note(coreTroubles[at]!.name);
-    await coreTroubles[at]!(deployment, random);
+    const at = Math.floor(random() * controlFaultScenarios.length);
+    note(controlFaultScenarios[at]!.name);
+    await controlFaultScenarios[at]!(deployment, random);
     await pause(CATCH_UP);
   }
 }
@@ -147,10 +150,10 @@
 ): Promise<void> {
   const underWay: Promise<void>[] = [];
   while (performance.now() < until) {
-    const at = Math.floor(random() * sideTroubles.length);
-    note(sideTroubles[at]!.name);
-    underWay.push(sideTroubles[at]!(deployment, random));
-    await pause(drawTime(random, SIDE_PAUSE));
+    const at = Math.floor(random() * backgroundFaultScenarios.length);
+    note(backgroundFaultScenarios[at]!.name);
+    underWay.push(backgroundFaultScenarios[at]!(deployment, random));
+    await pause(randomDuration(random, SIDE_PAUSE));
   }
   await Promise.all(underWay);
 }
--- a/packages/soak/call_once.ts
+++ b/packages/soak/send_http_request.ts
@@ -2,21 +2,21 @@
 import { type Milliseconds, splitAddress } from "@heroncleat/base";
 
 /** What came back. */
-type CallReply = {
+type HttpResponse = {
   readonly status: number;
   readonly body: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 };
 
 /** Why there is no whole answer. */
-type CallFailure = { readonly status: 0; readonly reason: string };
+type HttpFailure = { readonly status: 0; readonly reason: string };
 
 /**
  * Makes one HTTP call and reads its whole answer.
  *
  * @returns The answer; status 0 where none came whole within the time.
  */
-export function callOnce(
+export function sendHttpRequest(
   address: string,
   options: {
     method: string;
@@ -26,7 +26,7 @@
     timeout: Milliseconds;
     agent?: Agent;
   },
-): Promise<CallReply | CallFailure> {
+): Promise<HttpResponse | HttpFailure> {
   const { host, port } = splitAddress(address);
   const bytes = Buffer.from(options.body ?? "");
   return new Promise((resolve) => {
--- a/packages/soak/soak_caller.ts
+++ b/packages/soak/soak_caller.ts
@@ -1,14 +1,14 @@
 import { Agent } from "node:http";
 import type { Milliseconds } from "@heroncleat/base";
-import { answerOf } from "./answer_of.ts";
-import { callOnce } from "./call_once.ts";
+import { responseBody } from "./response_body.ts";
+import { sendHttpRequest } from "./send_http_request.ts";
 import { pause } from "./pause.ts";
 import type { SoakDocument } from "./soak_document.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
 const TIMEOUT: Milliseconds = 3000;
 /** Pause between two requests of a caller: from this on, and so much more. */
-const PAUSE = { least: 100, spread: 300 };
+const PAUSE = { min: 100, spread: 300 };
 /** Requests on one connection before a caller opens a new one. */
 const MOST_REUSES = 30;
 /** Age of a list of entries at which a caller asks again. */
@@ -17,7 +17,7 @@
 /** What one request came to. */
 export type RequestOutcome = {
   readonly attempt: string;
-  readonly isSingle: boolean;
+  readonly isNonIdempotent: boolean;
   readonly status: number;
   /** Why what came can't be the answer to this request. */
   readonly problem: string | undefined;
@@ -26,7 +26,7 @@
 type CallerOptions = {
   readonly name: string;
   readonly zone: string;
-  readonly wire: SoakWire;
+  readonly adapter: ProgramAdapter;
   readonly document: () => SoakDocument;
   /** Addresses of VMs to ask which entries there are. */
   readonly listLookups: () => readonly string[];
@@ -60,7 +60,7 @@
       if (this.#connect()) {
         await this.#ask();
       }
-      await pause(PAUSE.least + random() * PAUSE.spread);
+      await pause(PAUSE.min + random() * PAUSE.spread);
     }
     this.#agent?.destroy();
   }
@@ -70,7 +70,7 @@
   }
 
   async #renewList(): Promise<void> {
-    const { listLookups, random, wire, zone, document } = this.#options;
+    const { listLookups, random, adapter, zone, document } = this.#options;
     if (performance.now() - this.#listedAt < LIST_AGE) {
       return;
     }
@@ -79,13 +79,13 @@
     if (at === undefined) {
       return;
     }
-    const reply = await callOnce(at, {
+    const reply = await sendHttpRequest(at, {
       method: "GET",
-      path: wire.lookup({ host: document().host, zone }),
+      path: adapter.lookup({ host: document().host, zone }),
       timeout: 1000,
     });
     if (reply.status === 200) {
-      this.#entries = wire.addressesOf(reply.body);
+      this.#entries = adapter.parseAddresses(reply.body);
       this.#listedAt = performance.now();
     }
     if (!this.#entries.includes(this.#entry)) {
@@ -116,19 +116,21 @@
   }
 
   async #ask(): Promise<void> {
-    const { name, wire, document, random, onOutcome } = this.#options;
-    const { host, repeatablePrefix, singlePrefix } = document();
-    const isSingle = random() < 0.5;
+    const { name, adapter, document, random, onOutcome } = this.#options;
+    const { host, idempotentPrefix, nonIdempotentPrefix } = document();
+    const isNonIdempotent = random() < 0.5;
     this.#count += 1;
     const attempt = `${name}-${this.#count}`;
-    const reply = await callOnce(this.#entry, {
-      method: isSingle ? "POST" : "GET",
-      path: `${isSingle ? singlePrefix : repeatablePrefix}${attempt}`,
-      body: isSingle ? "one table for two" : "",
+    const reply = await sendHttpRequest(this.#entry, {
+      method: isNonIdempotent ? "POST" : "GET",
+      path: `${
+        isNonIdempotent ? nonIdempotentPrefix : idempotentPrefix
+      }${attempt}`,
+      body: isNonIdempotent ? "one table for two" : "",
       headers: {
         host,
-        [wire.headers.attempt]: attempt,
-        [wire.headers.timeLeft]: String(TIMEOUT),
+        [adapter.headers.attempt]: attempt,
+        [adapter.headers.timeLeft]: String(TIMEOUT),
       },
       timeout: TIMEOUT,
       agent: this.#agent!,
@@ -140,17 +142,17 @@
     const problem = status === 200 && "body" in reply
       ? this.#findProblem(attempt, reply)
       : undefined;
-    onOutcome({ attempt, isSingle, status, problem });
+    onOutcome({ attempt, isNonIdempotent, status, problem });
   }
 
   #findProblem(
     attempt: string,
     reply: { body: string; headers: Readonly<Record<string, unknown>> },
   ): string | undefined {
-    const { headers } = this.#options.wire;
+    const { headers } = this.#options.adapter;
     const digest = String(reply.headers[headers.digest] ?? "");
     const upstream = digest.replace("by-", "");
-    return reply.body === answerOf(attempt, upstream)
+    return reply.body === responseBody(attempt, upstream)
       ? undefined
       : `${attempt} was answered "${reply.body}" signed ${digest}`;
   }
--- a/packages/soak/soak_deployment.ts
+++ b/packages/soak/soak_deployment.ts
@@ -1,15 +1,15 @@
 import type { Milliseconds, Random } from "@heroncleat/base";
-import { Calm } from "./calm.ts";
-import { callOnce } from "./call_once.ts";
+import { DisturbanceLog } from "./disturbance_log.ts";
+import { sendHttpRequest } from "./send_http_request.ts";
 import { CrashingRequests } from "./crashing_requests.ts";
 import { LinkProxy } from "./link_proxy.ts";
 import { Machine } from "./machine.ts";
-import { PromiseChecks } from "./promise_checks.ts";
+import { GuaranteeChecks } from "./guarantee_checks.ts";
 import { SoakCaller } from "./soak_caller.ts";
 import { SoakUpstream } from "./soak_upstream.ts";
 import { pause } from "./pause.ts";
 import type { SoakDocument } from "./soak_document.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
 /** Time that VMs must have been calm to be bound by a time. */
 const CALM_TIME: Milliseconds = 3000;
@@ -29,7 +29,7 @@
 
 /** What the deployment is built from. */
 type Options = {
-  readonly wire: SoakWire;
+  readonly adapter: ProgramAdapter;
   readonly folder: string;
   readonly random: Random;
   /** Number of the soak among those that run at once; chooses addresses. */
@@ -44,8 +44,8 @@
   readonly zones = ["a", "b", "c", "d"];
   readonly machines: Machine[] = [];
   readonly proxy: LinkProxy;
-  readonly calm = new Calm(CALM_TIME);
-  readonly checks: PromiseChecks;
+  readonly disturbances = new DisturbanceLog(CALM_TIME);
+  readonly checks: GuaranteeChecks;
   readonly crashing: CrashingRequests;
   readonly random: Random;
   readonly outcomes = new Map<number, number>();
@@ -69,23 +69,25 @@
       version: 1,
       service: "desk",
       host: "inn.example",
-      repeatablePrefix: "/look/",
-      singlePrefix: "/book/",
+      idempotentPrefix: "/look/",
+      nonIdempotentPrefix: "/book/",
       timeout: 3000,
     };
     this.crashing = new CrashingRequests({
-      wire: options.wire,
+      adapter: options.adapter,
       random: options.random,
       document: () => this.#document,
-      listEntries: () => this.present().map((entry) => entry.callerAddress),
+      listEntries: () =>
+        this.activeMachines().map((entry) => entry.callerAddress),
     });
-    this.checks = new PromiseChecks({
+    this.checks = new GuaranteeChecks({
       drainTime: DRAIN_TIME,
-      wasReplicaCalm: (address, at) =>
-        this.calm.wasCalm(CORE, at) &&
-        this.calm.wasCalm(address.split(":")[0]!, at),
-      wasEntryCalm: (host, at) =>
-        this.calm.wasCalm(CORE, at) && this.calm.wasCalm(host, at),
+      wasReplicaUndisturbed: (address, at) =>
+        this.disturbances.wasUndisturbed(CORE, at) &&
+        this.disturbances.wasUndisturbed(address.split(":")[0]!, at),
+      wasEntryUndisturbed: (host, at) =>
+        this.disturbances.wasUndisturbed(CORE, at) &&
+        this.disturbances.wasUndisturbed(host, at),
       describe: (host, at) => this.#describe(host, at),
     });
   }
@@ -96,8 +98,8 @@
     for (const zone of this.zones) {
       for (let number = 1; number <= MACHINES_PER_ZONE; number += 1) {
         this.addMachine(zone, {
-          hasControl: number <= CONTROLS_PER_ZONE,
-          hasDisk: number === 1,
+          hasControlProcess: number <= CONTROLS_PER_ZONE,
+          hasReplica: number === 1,
         });
       }
     }
@@ -122,26 +124,26 @@
 
   async stop(): Promise<void> {
     for (const machine of this.machines) {
-      machine.retire();
+      machine.preventStarts();
     }
     for (const caller of this.#callers) {
       caller.stop();
     }
     for (const upstream of this.#upstreams) {
-      await upstream.end("crashes");
+      await upstream.shutDown("crashes");
     }
     for (const machine of this.machines) {
       machine.signal("SIGKILL");
       machine.signal("SIGCONT");
     }
-    await Promise.all(this.machines.map((machine) => machine.ended()));
+    await Promise.all(this.machines.map((machine) => machine.waitForExit()));
     this.proxy.close();
   }
 
   /** Operators' addresses of three control processes, as a new file has them. */
   seeds(): string[] {
-    return this.present()
-      .filter(({ hasControl }) => hasControl)
+    return this.activeMachines()
+      .filter(({ hasControlProcess }) => hasControlProcess)
       .map((machine) => ({ machine, order: this.random() }))
       .sort((left, right) => left.order - right.order)
       .slice(0, 3)
@@ -149,19 +151,21 @@
   }
 
   /** VMs with a control replica. */
-  controls(): Machine[] {
-    return this.machines.filter(({ hasDisk, isGone }) => hasDisk && !isGone);
+  replicaMachines(): Machine[] {
+    return this.machines.filter((
+      { hasReplica, isRemoved },
+    ) => hasReplica && !isRemoved);
   }
 
   /** VMs that run, with a control replica or without. */
-  present(): Machine[] {
-    return this.machines.filter(({ isGone }) => !isGone);
+  activeMachines(): Machine[] {
+    return this.machines.filter(({ isRemoved }) => !isRemoved);
   }
 
   /** Adds a VM that isn't started yet. */
   addMachine(
     zone: string,
-    options: { hasControl: boolean; hasDisk: boolean },
+    options: { hasControlProcess: boolean; hasReplica: boolean },
   ): Machine {
     const number = this.machines.filter((known) => known.zone === zone).length +
       1;
@@ -170,9 +174,9 @@
       name: `edge-${zone}-${number}`,
       zone,
       host: `127.${30 + this.#options.slot}.${at}.${number}`,
-      listedFrom: this.#isRunning ? performance.now() + LIST_LAG : 0,
+      discoverableFrom: this.#isRunning ? performance.now() + LIST_LAG : 0,
       ...options,
-    }, { ...this.#options, proxy: this.#proxyAddress });
+    }, { ...this.#options, proxyAddress: this.#proxyAddress });
     this.machines.push(machine);
     return machine;
   }
@@ -186,20 +190,21 @@
   async addUpstream(zone: string): Promise<SoakUpstream> {
     this.#upstreamCount += 1;
     const count = this.#upstreamCount;
-    const { slot, wire } = this.#options;
+    const { slot, adapter } = this.#options;
     const upstream = new SoakUpstream({
       name: `desk-${zone}-${count}`,
       service: this.#document.service,
       zone,
       host: `127.${60 + slot}.${Math.floor(count / 250)}.${1 + count % 250}`,
-      wire,
+      adapter,
       random: this.random,
       listReplicas: () => this.#listReplicas(),
-      onArrival: (arrival) => this.checks.noteArrival(arrival),
-      onRun: (arrival) => this.checks.noteRun(arrival),
-      isSingle: (path) => path.startsWith(this.#document.singlePrefix),
-      crashes: (path) => this.crashing.ends(path),
-      onCrash: (path) => this.checks.noteCrash(path),
+      onArrival: (arrival) => this.checks.checkReceived(arrival),
+      onRun: (arrival) => this.checks.checkRun(arrival),
+      isNonIdempotent: (path) =>
+        path.startsWith(this.#document.nonIdempotentPrefix),
+      crashes: (path) => this.crashing.isCrashing(path),
+      onCrash: (path) => this.checks.recordCrash(path),
     });
     this.#upstreams.add(upstream);
     await upstream.start();
@@ -207,20 +212,20 @@
   }
 
   /** An upstream of a zone that is ready, or of any zone. */
-  drawUpstream(zone?: string): SoakUpstream | undefined {
+  pickUpstream(zone?: string): SoakUpstream | undefined {
     const ready = [...this.#upstreams].filter((upstream) =>
       upstream.isReady && (zone === undefined || upstream.zone === zone)
     );
     return ready[Math.floor(this.random() * ready.length)];
   }
 
-  dropUpstream(upstream: SoakUpstream): void {
+  removeUpstream(upstream: SoakUpstream): void {
     this.#upstreams.delete(upstream);
   }
 
   /** Puts another version in force; true once it was acknowledged. */
   async publish(): Promise<boolean> {
-    const { wire } = this.#options;
+    const { adapter } = this.#options;
     this.#document = {
       ...this.#document,
       version: this.#document.version + 1,
@@ -228,8 +233,8 @@
     const { version } = this.#document;
     const replicas = this.#listReplicas();
     for (const address of replicas) {
-      const reply = await callOnce(address, {
-        ...wire.publish(this.#document),
+      const reply = await sendHttpRequest(address, {
+        ...adapter.publish(this.#document),
         timeout: 1000,
       });
       if (reply.status === 200) {
@@ -245,18 +250,18 @@
 
   /** Reads the configuration back and checks that nothing was lost. */
   async checkDocument(): Promise<void> {
-    const { wire } = this.#options;
+    const { adapter } = this.#options;
     const until = performance.now() + START_TIMEOUT;
     while (performance.now() < until) {
       for (const address of this.#listReplicas()) {
-        const reply = await callOnce(address, {
-          ...wire.readDocument,
+        const reply = await sendHttpRequest(address, {
+          ...adapter.readDocument,
           timeout: 1000,
         });
         if (reply.status !== 200 || !("body" in reply)) {
           continue;
         }
-        const version = wire.versionOf(reply.body);
+        const version = adapter.parseVersion(reply.body);
         if (version < this.#acknowledgedVersion) {
           this.checks.report(
             "configuration",
@@ -272,29 +277,32 @@
   }
 
   /** Begins a disturbance of the group; call what it returns at its end. */
-  disturbCore(host: string): () => void {
+  beginControlDisturbance(host: string): () => void {
     const at = performance.now();
-    const ends = [this.calm.begin(CORE, at), this.calm.begin(host, at)];
+    const ends = [
+      this.disturbances.begin(CORE, at),
+      this.disturbances.begin(host, at),
+    ];
     return () => ends.forEach((end) => end());
   }
 
   /** Begins a disturbance of one VM. */
-  disturb(host: string): () => void {
-    return this.calm.begin(host, performance.now());
+  beginDisturbance(host: string): () => void {
+    return this.disturbances.begin(host, performance.now());
   }
 
   #addCaller(zone: string): void {
     const caller = new SoakCaller({
       name: `r${this.#callers.length}`,
       zone,
-      wire: this.#options.wire,
+      adapter: this.#options.adapter,
       document: () => this.#document,
       listLookups: () => this.#listLookups(zone),
       random: this.random,
       onOutcome: (outcome) => {
         const { status } = outcome;
         this.outcomes.set(status, (this.outcomes.get(status) ?? 0) + 1);
-        this.checks.noteOutcome(outcome);
+        this.checks.checkOutcome(outcome);
       },
     });
     this.#callers.push(caller);
@@ -305,8 +313,15 @@
   #listReplicas(): string[] {
     const now = performance.now();
     return this.machines
-      .filter(({ hasControl, listedFrom, goneAt }) =>
-        hasControl && listedFrom <= now && now < goneAt + LIST_LAG
+      .filter((
+        {
+          hasControlProcess,
+          discoverableFrom,
+          removedAt,
+        },
+      ) =>
+        hasControlProcess && discoverableFrom <= now &&
+        now < removedAt + LIST_LAG
       )
       .map((machine) => ({ machine, order: this.random() }))
       .sort((left, right) => left.order - right.order)
@@ -314,22 +329,24 @@
   }
 
   #listLookups(zone: string): string[] {
-    const present = this.present();
-    const near = present.filter((machine) => machine.zone === zone);
-    const listed = this.random() < 0.7 && near.length > 0 ? near : present;
+    const activeMachines = this.activeMachines();
+    const near = activeMachines.filter((machine) => machine.zone === zone);
+    const listed = this.random() < 0.7 && near.length > 0
+      ? near
+      : activeMachines;
     return listed.map(({ lookupAddress }) => lookupAddress);
   }
 
   async #isServed(): Promise<boolean> {
-    const { wire } = this.#options;
-    for (const machine of this.present()) {
-      const reply = await callOnce(machine.callerAddress, {
+    const { adapter } = this.#options;
+    for (const machine of this.activeMachines()) {
+      const reply = await sendHttpRequest(machine.callerAddress, {
         method: "GET",
-        path: `${this.#document.repeatablePrefix}first`,
+        path: `${this.#document.idempotentPrefix}first`,
         headers: {
           host: this.#document.host,
-          [wire.headers.attempt]: `first-${machine.name}`,
-          [wire.headers.timeLeft]: "1000",
+          [adapter.headers.attempt]: `first-${machine.name}`,
+          [adapter.headers.timeLeft]: "1000",
         },
         timeout: 1000,
       });
@@ -359,7 +376,9 @@
       return host;
     }
     const ran = Math.round(at - machine.startedAt);
-    const calm = Math.round(this.calm.calmFor(host, at));
-    return `${machine.name}, entry up for ${ran} ms, calm for ${calm} ms`;
+    const undisturbedTime = Math.round(
+      this.disturbances.undisturbedTime(host, at),
+    );
+    return `${machine.name}, entry up for ${ran} ms, calm for ${undisturbedTime} ms`;
   }
 }
--- a/packages/soak/soak_document.ts
+++ b/packages/soak/soak_document.ts
@@ -6,7 +6,7 @@
   readonly service: string;
   readonly host: string;
   /** Prefix of requests that may be repeated, and of those that may not. */
-  readonly repeatablePrefix: string;
-  readonly singlePrefix: string;
+  readonly idempotentPrefix: string;
+  readonly nonIdempotentPrefix: string;
   readonly timeout: Milliseconds;
 };
--- a/packages/soak/soak_upstream.ts
+++ b/packages/soak/soak_upstream.ts
@@ -5,10 +5,10 @@
   type ServerResponse,
 } from "node:http";
 import type { Milliseconds } from "@heroncleat/base";
-import { answerOf } from "./answer_of.ts";
-import type { Arrival } from "./arrival.ts";
-import { callOnce } from "./call_once.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import { responseBody } from "./response_body.ts";
+import type { ReceivedRequest } from "./received_request.ts";
+import { sendHttpRequest } from "./send_http_request.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
 const HEARTBEAT_INTERVAL: Milliseconds = 1200;
 /** Time within which an acknowledgement counts. */
@@ -19,26 +19,26 @@
 const SLOTS = 6;
 const PORT = 9000;
 /** Time for which one that crashed is down, in ms. */
-const DOWNTIME = { least: 1500, spread: 2500 };
+const DOWNTIME = { min: 1500, spread: 2500 };
 /** Time from the start of a run to the crash under it, in ms. */
-const CRASHES_AFTER = { least: 10, spread: 100 };
+const CRASHES_AFTER = { min: 10, spread: 100 };
 /** Time that a request takes, in ms: from this on, and so much more. */
-const WORK = { least: 10, spread: 60 };
+const WORK = { min: 10, spread: 60 };
 
 /** How an upstream says that it leaves. */
-type LeaveManner =
+type DepartureMode =
   /** Heartbeats that say so, and a departure once it ends. */
   | "drains"
   /** A departure at once, and nothing more. */
   | "departs";
 
 /** That a replica acknowledged that an upstream leaves. */
-export type LeaveAcknowledged = {
+export type AcknowledgedDeparture = {
   readonly upstream: string;
   readonly at: Milliseconds;
   /** Operators' address of the replica. */
   readonly by: string;
-  readonly manner: LeaveManner;
+  readonly mode: DepartureMode;
 };
 
 type UpstreamOptions = {
@@ -46,13 +46,13 @@
   readonly service: string;
   readonly zone: string;
   readonly host: string;
-  readonly wire: SoakWire;
+  readonly adapter: ProgramAdapter;
   readonly random: () => number;
   /** Operators' addresses that it may report to, best first. */
   readonly listReplicas: () => readonly string[];
-  readonly onArrival: (arrival: Arrival) => void;
-  readonly onRun: (arrival: Arrival) => void;
-  readonly isSingle: (path: string) => boolean;
+  readonly onArrival: (arrival: ReceivedRequest) => void;
+  readonly onRun: (arrival: ReceivedRequest) => void;
+  readonly isNonIdempotent: (path: string) => boolean;
   /** Whether a request ends each upstream that runs it. */
   readonly crashes: (path: string) => boolean;
   /** Called when this has ended under such a request. */
@@ -71,7 +71,7 @@
   #state: "ready" | "draining" = "ready";
   #timer: NodeJS.Timeout | undefined;
   #replica: string | undefined;
-  #underWay = 0;
+  #inFlight = 0;
 
   constructor(options: UpstreamOptions) {
     this.#options = options;
@@ -86,16 +86,16 @@
 
   /** Ends at once with all its connections, and runs again after a time. */
   async crash(): Promise<void> {
-    await this.end("crashes");
+    await this.shutDown("crashes");
     const { random } = this.#options;
     await new Promise((resolve) => {
-      setTimeout(resolve, DOWNTIME.least + random() * DOWNTIME.spread);
+      setTimeout(resolve, DOWNTIME.min + random() * DOWNTIME.spread);
     });
     // One that was to leave meanwhile doesn't come back.
     if (this.#state === "ready") {
       this.#born = Date.now();
       this.#sequence = 0;
-      this.#underWay = 0;
+      this.#inFlight = 0;
       await this.start();
     }
   }
@@ -112,24 +112,29 @@
         resolve();
       });
     });
-    void this.#beat();
-    this.#timer = setInterval(() => void this.#beat(), HEARTBEAT_INTERVAL);
+    void this.#sendHeartbeat();
+    this.#timer = setInterval(
+      () => void this.#sendHeartbeat(),
+      HEARTBEAT_INTERVAL,
+    );
   }
 
   /**
    * Says that it leaves, to one replica after the other until one acknowledges
    * it.
    */
-  async leave(manner: LeaveManner): Promise<LeaveAcknowledged | undefined> {
+  async depart(
+    mode: DepartureMode,
+  ): Promise<AcknowledgedDeparture | undefined> {
     this.#state = "draining";
-    if (manner === "departs") {
+    if (mode === "departs") {
       clearInterval(this.#timer);
     }
     for (let tried = 0; tried < LEAVE_TRIES; tried += 1) {
       const replicas = this.#options.listReplicas();
       const by = replicas[tried % Math.max(1, replicas.length)];
-      if (by !== undefined && await this.#tell(by, manner)) {
-        return { upstream: this.name, at: performance.now(), by, manner };
+      if (by !== undefined && await this.#notify(by, mode)) {
+        return { upstream: this.name, at: performance.now(), by, mode };
       }
       await new Promise((resolve) => setTimeout(resolve, LEAVE_PAUSE));
     }
@@ -137,38 +142,38 @@
   }
 
   /** Ends; one that drained says so first. */
-  async end(manner: LeaveManner | "crashes"): Promise<void> {
+  async shutDown(mode: DepartureMode | "crashes"): Promise<void> {
     clearInterval(this.#timer);
-    if (manner === "drains") {
+    if (mode === "drains") {
       const [by] = this.#options.listReplicas();
       if (by !== undefined) {
-        await this.#tell(by, "departs");
+        await this.#notify(by, "departs");
       }
     }
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  async #tell(by: string, manner: LeaveManner): Promise<boolean> {
-    const { wire } = this.#options;
-    const call = manner === "departs"
-      ? wire.departure(this.name)
-      : wire.heartbeat(this.#report());
-    const reply = await callOnce(by, { ...call, timeout: ACK_TIMEOUT });
+  async #notify(by: string, mode: DepartureMode): Promise<boolean> {
+    const { adapter } = this.#options;
+    const call = mode === "departs"
+      ? adapter.departure(this.name)
+      : adapter.heartbeat(this.#report());
+    const reply = await sendHttpRequest(by, { ...call, timeout: ACK_TIMEOUT });
     return reply.status >= 200 && reply.status < 300;
   }
 
   /** One replica hears it until a heartbeat fails there. */
-  async #beat(): Promise<void> {
+  async #sendHeartbeat(): Promise<void> {
     const replicas = this.#options.listReplicas();
-    const { random, wire } = this.#options;
+    const { random, adapter } = this.#options;
     const drawn = replicas[Math.floor(random() * replicas.length)];
     const by = this.#replica ?? drawn;
     if (by === undefined) {
       return;
     }
-    const call = wire.heartbeat(this.#report());
-    const reply = await callOnce(by, { ...call, timeout: ACK_TIMEOUT });
+    const call = adapter.heartbeat(this.#report());
+    const reply = await sendHttpRequest(by, { ...call, timeout: ACK_TIMEOUT });
     const isTaken = reply.status >= 200 && reply.status < 300;
     this.#replica = isTaken ? by : undefined;
   }
@@ -191,15 +196,16 @@
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const { wire, onArrival, onRun, isSingle, crashes, random } = this.#options;
-    const { headers } = wire;
+    const { adapter, onArrival, onRun, isNonIdempotent, crashes, random } =
+      this.#options;
+    const { headers } = adapter;
     const attempt = String(message.headers[headers.attempt] ?? "");
-    const arrival: Arrival = {
+    const arrival: ReceivedRequest = {
       attempt,
       upstream: this.name,
       from: message.socket.remoteAddress ?? "",
       at: performance.now(),
-      isSingle: isSingle(message.url ?? ""),
+      isNonIdempotent: isNonIdempotent(message.url ?? ""),
       target: message.url ?? "",
     };
     response.setHeader(headers.attempt, attempt);
@@ -210,7 +216,7 @@
       return;
     }
     onArrival(arrival);
-    if (this.#underWay >= SLOTS * 4) {
+    if (this.#inFlight >= SLOTS * 4) {
       response.writeHead(503, { [headers.notRun]: "1" }).end();
       return;
     }
@@ -221,7 +227,7 @@
       await new Promise((resolve) => {
         setTimeout(
           resolve,
-          CRASHES_AFTER.least + random() * CRASHES_AFTER.spread,
+          CRASHES_AFTER.min + random() * CRASHES_AFTER.spread,
         );
       });
       if (this.#server.listening) {
@@ -230,15 +236,15 @@
       }
       return;
     }
-    this.#underWay += 1;
+    this.#inFlight += 1;
     await new Promise((resolve) => {
-      setTimeout(resolve, WORK.least + random() * WORK.spread);
+      setTimeout(resolve, WORK.min + random() * WORK.spread);
     });
-    this.#underWay -= 1;
+    this.#inFlight -= 1;
     response.writeHead(200, {
       [headers.digest]: `by-${this.name}`,
       "keep-alive": "timeout=5",
     });
-    response.end(answerOf(attempt, this.name));
+    response.end(responseBody(attempt, this.name));
   }
 }
--- a/packages/stand_ins/announcer.ts
+++ b/packages/stand_ins/announcer.ts
@@ -16,8 +16,8 @@
   readonly #readLoad: () => Omit<Load, "at">;
   readonly #incarnation = Date.now();
   #sequence = 0;
-  #entry = 0;
-  #leaveAt: Milliseconds | undefined;
+  #entryIndex = 0;
+  #reclaimAt: Milliseconds | undefined;
   #timer: NodeJS.Timeout | undefined;
   #models: readonly string[];
 
@@ -43,8 +43,8 @@
   }
 
   /** Announces that the VM will be taken. */
-  async leave(reclaimIn: Milliseconds): Promise<void> {
-    this.#leaveAt = Date.now() + reclaimIn;
+  async announceReclaim(reclaimIn: Milliseconds): Promise<void> {
+    this.#reclaimAt = Date.now() + reclaimIn;
     await this.announce();
   }
 
@@ -56,13 +56,13 @@
       if (await this.#sendTo(this.#currentEntry(), body)) {
         return;
       }
-      this.#entry += 1;
+      this.#entryIndex += 1;
     }
   }
 
   #currentEntry(): string {
     const { entries } = this.#settings;
-    return entries[this.#entry % entries.length]!;
+    return entries[this.#entryIndex % entries.length]!;
   }
 
   async #sendTo(entry: string, body: string): Promise<boolean> {
@@ -101,14 +101,14 @@
       slots: settings.engine.slots,
       prefillRate: settings.engine.prefillRate,
       decodeInterval: settings.engine.decodeInterval,
-      state: this.#leaveAt === undefined ? "serving" : "leaving",
+      state: this.#reclaimAt === undefined ? "serving" : "leaving",
       load: { ...this.#readLoad(), at: Date.now() },
     };
     if (settings.service !== "") {
       announcement.service = settings.service;
     }
-    if (this.#leaveAt !== undefined) {
-      announcement.reclaimIn = Math.max(0, this.#leaveAt - Date.now());
+    if (this.#reclaimAt !== undefined) {
+      announcement.reclaimIn = Math.max(0, this.#reclaimAt - Date.now());
     }
     return announcement;
   }
--- a/packages/stand_ins/crash_upon.ts
+++ b/packages/stand_ins/crash_if_body_contains.ts
@@ -2,10 +2,13 @@
 const CRASH_DELAY = 30;
 
 /** Ends the process soon where a body holds a text, and says whether it does. */
-export function crashUpon(text: string | undefined, body: string): boolean {
-  const crashes = text !== undefined && body.includes(text);
-  if (crashes) {
+export function crashIfBodyContains(
+  text: string | undefined,
+  body: string,
+): boolean {
+  const containsText = text !== undefined && body.includes(text);
+  if (containsText) {
     setTimeout(() => process.exit(1), CRASH_DELAY);
   }
-  return crashes;
+  return containsText;
 }
--- a/packages/stand_ins/engine_server.ts
+++ b/packages/stand_ins/engine_server.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { createToken } from "@heroncleat/base";
-import { crashUpon } from "./crash_upon.ts";
+import { crashIfBodyContains } from "./crash_if_body_contains.ts";
 import { ModelEngine } from "./model_engine.ts";
 import { parseGeneration } from "./parse_generation.ts";
 import { readBody } from "./read_body.ts";
@@ -31,11 +31,11 @@
     response: ServerResponse,
   ): Promise<void> {
     const text = await readBody(request);
-    if (crashUpon(this.#crashOn, text)) {
+    if (crashIfBodyContains(this.#crashOn, text)) {
       return;
     }
     const body = JSON.parse(text);
-    if (this.#fails(request, response)) {
+    if (this.#sendRefusal(request, response)) {
       return;
     }
     const chat = request.url === "/v1/chat/completions";
@@ -48,10 +48,10 @@
       ...parseGeneration(body),
       onToken: (text) => {
         sent += 1;
-        const cut = this.behaviour === StandInBehaviour.truncate ||
+        const isInterrupted = this.behaviour === StandInBehaviour.truncate ||
           this.behaviour === StandInBehaviour.cut;
-        if (cut && sent > TRUNCATED_TOKENS) {
-          this.#breakOff(id, response);
+        if (isInterrupted && sent > TRUNCATED_TOKENS) {
+          this.#interrupt(id, response);
           return;
         }
         if (this.behaviour !== StandInBehaviour.stall) {
@@ -66,7 +66,7 @@
     });
   }
 
-  #fails(request: IncomingMessage, response: ServerResponse): boolean {
+  #sendRefusal(request: IncomingMessage, response: ServerResponse): boolean {
     if (this.behaviour === StandInBehaviour.refuse) {
       const attempt = String(request.headers["heroncleat-attempt"] ?? "");
       response.writeHead(503, { "heroncleat-not-run": attempt });
@@ -81,7 +81,7 @@
     return false;
   }
 
-  #breakOff(id: string, response: ServerResponse): void {
+  #interrupt(id: string, response: ServerResponse): void {
     this.engine.cancel(id);
     if (this.behaviour === StandInBehaviour.cut) {
       response.destroy();
--- a/packages/stand_ins/expected_answer.ts
+++ b/packages/stand_ins/expected_completion.ts
@@ -6,19 +6,19 @@
  *
  * @public
  */
-export function expectedAnswer(
+export function expectedCompletion(
   body: Parameters<typeof parseGeneration>[0],
   salt: string,
 ): string {
   const { text, maxTokens } = parseGeneration(body);
   const source = new TokenSource(text, salt);
-  let answer = "";
+  let completion = "";
   for (let count = 0; count < maxTokens; count += 1) {
     const token = source.next();
     if (token === undefined) {
-      return answer;
+      return completion;
     }
-    answer += token;
+    completion += token;
   }
-  return answer;
+  return completion;
 }
--- a/packages/stand_ins/main.ts
+++ b/packages/stand_ins/main.ts
@@ -23,7 +23,7 @@
 
 async function stop(): Promise<void> {
   const limit = Date.now() + STOP_LIMIT;
-  await standIn.leave(STOP_LIMIT);
+  await standIn.announceReclaim(STOP_LIMIT);
   while (!standIn.isIdle && Date.now() < limit) {
     await new Promise((resolve) => setTimeout(resolve, IDLE_CHECK));
   }
--- a/packages/stand_ins/mod.ts
+++ b/packages/stand_ins/mod.ts
@@ -9,7 +9,7 @@
 export type { EngineSettings } from "./engine_settings.ts";
 export type { ServiceRun } from "./service_run.ts";
 export type { StandInSettings } from "./stand_in_settings.ts";
-export { expectedAnswer } from "./expected_answer.ts";
+export { expectedCompletion } from "./expected_completion.ts";
 export { countTokens } from "./count_tokens.ts";
 export { TokenSource } from "./token_source.ts";
 export { ModelEngine } from "./model_engine.ts";
--- a/packages/stand_ins/model_engine.ts
+++ b/packages/stand_ins/model_engine.ts
@@ -12,7 +12,7 @@
 type RunningJob = {
   readonly job: EngineJob;
   readonly source: TokenSource;
-  left: number;
+  remainingTokens: number;
   cancelTimer: () => void;
 };
 
@@ -58,7 +58,9 @@
 
   submit(job: EngineJob): void {
     this.#waiting.push(job);
-    this.#waiting.sort((left, right) => left.priority - right.priority);
+    this.#waiting.sort((remainingTokens, right) =>
+      remainingTokens.priority - right.priority
+    );
     this.#startNext();
   }
 
@@ -86,7 +88,7 @@
     const promptTokens = countTokens(job.prompt);
     const emittedTokens = countTokens(job.emitted);
     const cachedTokens = Math.floor(
-      promptTokens * this.#takeCached(job.prompt),
+      promptTokens * this.#lookUpPrefix(job.prompt),
     );
     const delay = this.#prefill(job, {
       prompt: promptTokens - cachedTokens,
@@ -99,7 +101,7 @@
     const running: RunningJob = {
       job,
       source: new TokenSource(job.text, this.#settings.salt),
-      left: job.maxTokens,
+      remainingTokens: job.maxTokens,
       cancelTimer: () => {},
     };
     this.#running.set(job.id, running);
@@ -128,16 +130,18 @@
     usage: { promptTokens: number; cachedTokens: number },
   ): void {
     const { job } = running;
-    const text = running.left > 0 ? running.source.next() : undefined;
+    const text = running.remainingTokens > 0
+      ? running.source.next()
+      : undefined;
     if (text === undefined) {
       this.#running.delete(job.id);
-      const tokens = job.maxTokens - running.left;
-      const reason = running.left > 0 ? "stop" : "length";
+      const tokens = job.maxTokens - running.remainingTokens;
+      const reason = running.remainingTokens > 0 ? "stop" : "length";
       job.onEnd({ reason, tokens, ...usage });
       this.#startNext();
       return;
     }
-    running.left -= 1;
+    running.remainingTokens -= 1;
     this.counts.generated += 1;
     running.cancelTimer = this.#schedule(
       () => this.#step(running, usage),
@@ -152,7 +156,7 @@
   }
 
   /** Share of the prompt that the cache holds; caches all of it. */
-  #takeCached(prompt: string): number {
+  #lookUpPrefix(prompt: string): number {
     const blocks: string[] = [];
     let chain = "";
     for (
--- a/packages/stand_ins/order_log.ts
+++ b/packages/stand_ins/order_log.ts
@@ -14,16 +14,17 @@
  */
 export class OrderLog {
   readonly received: ReceivedOrder[] = [];
-  readonly #checks: boolean;
-  #highest = 0;
+  readonly #checksFencing: boolean;
+  #highestFencing = 0;
 
-  constructor(checks: boolean) {
-    this.#checks = checks;
+  constructor(checksFencing: boolean) {
+    this.#checksFencing = checksFencing;
   }
 
-  take(order: Omit<ReceivedOrder, "accepted">): boolean {
-    const accepted = !this.#checks || order.fencing >= this.#highest;
-    this.#highest = Math.max(this.#highest, order.fencing);
+  record(order: Omit<ReceivedOrder, "accepted">): boolean {
+    const accepted = !this.#checksFencing ||
+      order.fencing >= this.#highestFencing;
+    this.#highestFencing = Math.max(this.#highestFencing, order.fencing);
     this.received.push({ ...order, accepted });
     return accepted;
   }
--- a/packages/stand_ins/service_server.ts
+++ b/packages/stand_ins/service_server.ts
@@ -1,5 +1,5 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { crashUpon } from "./crash_upon.ts";
+import { crashIfBodyContains } from "./crash_if_body_contains.ts";
 import { readBody } from "./read_body.ts";
 import type { ServiceRun } from "./service_run.ts";
 import { StandInBehaviour } from "./stand_in_behaviour.ts";
@@ -26,7 +26,7 @@
     response: ServerResponse,
   ): Promise<void> {
     const body = await readBody(request);
-    if (crashUpon(this.#crashOn, body)) {
+    if (crashIfBodyContains(this.#crashOn, body)) {
       return;
     }
     const attempt = String(request.headers["heroncleat-attempt"] ?? "");
@@ -41,7 +41,7 @@
       return;
     }
     const run = this.#record(request, { body, attempt });
-    this.#answer(response, run);
+    this.#respond(response, run);
   }
 
   #record(
@@ -60,7 +60,7 @@
     return run;
   }
 
-  #answer(response: ServerResponse, run: ServiceRun): void {
+  #respond(response: ServerResponse, run: ServiceRun): void {
     const { behaviour } = this;
     if (behaviour === StandInBehaviour.cut) {
       response.destroy();
--- a/packages/stand_ins/upstream_stand_in.ts
+++ b/packages/stand_ins/upstream_stand_in.ts
@@ -62,8 +62,8 @@
   }
 
   /** Announces the reclaim; the caller ends the process when time is up. */
-  async leave(reclaimIn: Milliseconds): Promise<void> {
-    await this.#announcer.leave(reclaimIn);
+  async announceReclaim(reclaimIn: Milliseconds): Promise<void> {
+    await this.#announcer.announceReclaim(reclaimIn);
   }
 
   get isIdle(): boolean {
@@ -82,11 +82,11 @@
   ): Promise<void> {
     const path = request.url ?? "";
     if (path.startsWith(CONTROL_PATH)) {
-      await this.#control(request, response);
+      await this.#handleControl(request, response);
       return;
     }
     if (path.endsWith("_lora_adapter") || path === "/v1/role") {
-      await this.#takeOrder(request, response);
+      await this.#handleOrder(request, response);
       return;
     }
     if (this.#settings.kind === "model_engine") {
@@ -96,7 +96,7 @@
     await this.#service.handle(request, response);
   }
 
-  async #takeOrder(
+  async #handleOrder(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -104,16 +104,16 @@
     const name = String(body.lora_name ?? body.role);
     const path = request.url ?? "";
     const fencing = Number(request.headers["heroncleat-fencing"] ?? 0);
-    if (!this.#orders.take({ fencing, path, name })) {
+    if (!this.#orders.record({ fencing, path, name })) {
       response.writeHead(409);
       response.end("the fencing number is old");
       return;
     }
-    this.#changeModels(path, name);
+    this.#updateModels(path, name);
     response.end("ok");
   }
 
-  #changeModels(path: string, name: string): void {
+  #updateModels(path: string, name: string): void {
     if (path === "/v1/load_lora_adapter" && !this.#models.includes(name)) {
       this.#models.push(name);
     }
@@ -123,7 +123,7 @@
     this.#announcer.setModels(this.#models);
   }
 
-  async #control(
+  async #handleControl(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -134,7 +134,7 @@
         this.#service.behaviour = body.behaviour;
       }
       if (typeof body.leaveIn === "number") {
-        await this.leave(body.leaveIn);
+        await this.announceReclaim(body.leaveIn);
       }
     }
     response.setHeader("content-type", "application/json");
