--- a/packages/soak/background_fault_scenarios.ts
+++ b/packages/soak/background_fault_scenarios.ts
@@ -6,18 +6,18 @@
 import type { SoakDeployment } from "./soak_deployment.ts";
 import type { FaultScenario } from "./fault_scenario.ts";
 
-/** VMs that one machine bears beside its callers and upstreams. */
-const MOST_MACHINES = 18;
-/** Longest delay of what an entry sends and receives, each way, in ms. */
-const MOST_DELAY = 100;
+/** Limits the processes on the machine that runs the soak. */
+const MAX_MACHINES = 18;
+/** Network delay in each direction. */
+const MAX_DELAY_MS = 100;
 
-/** Time for which a caller repeats a request, and the pause between two. */
-const REPEATED_FOR = { min: 6000, spread: 8000 };
-const REPEAT_PAUSE = { min: 100, spread: 500 };
-/** Upstreams of eight that end at the same moment by themselves. */
-const MOST_CRASHED = 3;
+/** Time for which a caller repeats a crashing request. */
+const REPEAT_DURATION_MS = { min: 6000, spread: 8000 };
+const REPEAT_PAUSE_MS = { min: 100, spread: 500 };
+/** Upstreams that crash at the same time. */
+const MAX_CRASHED = 3;
 
-/** What may happen to one entry. */
+/** Faults of a single entry VM. */
 const entryFaultScenarios: readonly ((
   deployment: SoakDeployment,
   random: Random,
@@ -33,7 +33,7 @@
     await pause(randomDuration(random, { min: 500, spread: 4000 }));
     machine.signal("SIGCONT");
   },
-  async function silence(deployment, _random, machine) {
+  async function blackhole(deployment, _random, machine) {
     for (const { host } of deployment.replicaMachines()) {
       deployment.proxy.blackhole(machine.host, host);
     }
@@ -42,7 +42,7 @@
     deployment.proxy.reset(machine.host);
   },
   async function delay(deployment, random, machine) {
-    deployment.proxy.delay(machine.host, MOST_DELAY * random());
+    deployment.proxy.delay(machine.host, MAX_DELAY_MS * random());
     await pause(randomDuration(random, { min: 1000, spread: 2000 }));
     deployment.proxy.delay(machine.host, 0);
   },
@@ -56,30 +56,30 @@
   },
 ];
 
-/** Nothing is lost in the core; an entry hangs, goes or loses links. */
+/** Injects a fault into one entry VM; control VMs aren't affected. */
 async function disturbEntry(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const plain = deployment.activeMachines().filter(({ hasReplica }) =>
+  const entries = deployment.activeMachines().filter(({ hasReplica }) =>
     !hasReplica
   );
-  const machine = plain[Math.floor(random() * plain.length)];
-  const trouble =
+  const machine = entries[Math.floor(random() * entries.length)];
+  const scenario =
     entryFaultScenarios[Math.floor(random() * entryFaultScenarios.length)]!;
   if (machine !== undefined) {
     const end = deployment.beginDisturbance(machine.host);
-    await trouble(deployment, random, machine);
+    await scenario(deployment, random, machine);
     end();
   }
 }
 
-/** A VM is added to the deployment. */
+/** Adds a VM to the deployment. */
 async function addEntry(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  if (deployment.activeMachines().length >= MOST_MACHINES) {
+  if (deployment.activeMachines().length >= MAX_MACHINES) {
     return;
   }
   const at = Math.floor(random() * deployment.zones.length);
@@ -102,36 +102,36 @@
   await replaceUpstream(deployment, random);
 }
 
-/**
- * A caller sends a request that ends each upstream that runs it again and
- * again, at any entry.
- */
+/** Sends one crashing request repeatedly, to random entries. */
 async function repeatCrashing(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
   const { crashing } = deployment;
   const request = crashing.create({ isNonIdempotent: random() < 0.5 });
-  const until = performance.now() + randomDuration(random, REPEATED_FOR);
+  const until = performance.now() + randomDuration(random, REPEAT_DURATION_MS);
   while (performance.now() < until) {
     await crashing.send(request);
-    await pause(randomDuration(random, REPEAT_PAUSE));
+    await pause(randomDuration(random, REPEAT_PAUSE_MS));
   }
 }
 
-/** Some upstreams end at the same moment, and run again later. */
+/** Crashes some upstreams at the same time; they restart later. */
 async function crashUpstreams(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const count = 1 + Math.floor(random() * MOST_CRASHED);
+  const count = 1 + Math.floor(random() * MAX_CRASHED);
   for (let crashed = 0; crashed < count; crashed += 1) {
     void deployment.pickUpstream()?.crash();
   }
   await pause(0);
 }
 
-/** Troubles that come at any moment beside the others. */
+/**
+ * Faults that run at any time beside those of control VMs. They are reported
+ * under their function names.
+ */
 export const backgroundFaultScenarios: readonly FaultScenario[] = [
   disturbEntry,
   disturbEntry,
--- a/packages/soak/control_fault_scenarios.ts
+++ b/packages/soak/control_fault_scenarios.ts
@@ -6,41 +6,39 @@
 import type { SoakDeployment } from "./soak_deployment.ts";
 import type { FaultScenario } from "./fault_scenario.ts";
 
-/** Time after a VM is back at which upstreams of its zone leave. */
-const LEAVE_AFTER_RETURN = { min: 0, spread: 4500 };
-/** How long a VM is gone. */
-const AWAY = { min: 300, spread: 2500 };
-/** How long a VM stands still, is cut off or has a bad disk or clock. */
-const DISTURBED = { min: 1500, spread: 4000 };
-/** How long all replicas are gone. */
-const ALL_AWAY = { min: 200, spread: 600 };
+/** Delay between the recovery of a VM and departures in its zone. */
+const DEPARTURE_DELAY_MS = { min: 0, spread: 4500 };
+const VM_DOWNTIME_MS = { min: 300, spread: 2500 };
+/** Duration of a suspension, a partition, or a disk or clock fault. */
+const FAULT_DURATION_MS = { min: 1500, spread: 4000 };
+const GROUP_DOWNTIME_MS = { min: 200, spread: 600 };
 
 /**
- * The replica that has just acknowledged a leave is lost, and entries start
- * again before the upstream has ended.
+ * Kills the replica that has just acknowledged a departure, and restarts
+ * entries before the departing upstream shuts down.
  */
 async function loseAcknowledger(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
   const zone = deployment.pickUpstream()?.zone;
-  const leave = await replaceUpstream(deployment, random, { zone });
+  const departure = await replaceUpstream(deployment, random, { zone });
   const machine = deployment.activeMachines().find(({ operatorAddress }) =>
-    operatorAddress === leave?.by
+    operatorAddress === departure?.by
   );
   if (machine === undefined || zone === undefined) {
     return;
   }
   const end = deployment.beginControlDisturbance(machine.host);
-  const isWhole = random() < 0.5;
-  machine.signal("SIGKILL", isWhole ? machine.roles : ["control"]);
+  const killsEntry = random() < 0.5;
+  machine.signal("SIGKILL", killsEntry ? machine.roles : ["control"]);
   await pause(randomDuration(random, { min: 300, spread: 1000 }));
   deployment.startMachine(machine);
   end();
   await restartEntries(deployment, random, zone);
 }
 
-/** Some entries of a zone are killed or stopped in turn and start again. */
+/** Kills or shuts down some entries of a zone in turn and restarts them. */
 async function restartEntries(
   deployment: SoakDeployment,
   random: Random,
@@ -52,8 +50,8 @@
   for (const machine of entries) {
     if (random() < 0.5) {
       const end = deployment.beginDisturbance(machine.host);
-      const isOrderly = random() < 0.3;
-      machine.signal(isOrderly ? "SIGTERM" : "SIGKILL");
+      const isGraceful = random() < 0.3;
+      machine.signal(isGraceful ? "SIGTERM" : "SIGKILL");
       await machine.waitForExit();
       await pause(randomDuration(random, { min: 0, spread: 600 }));
       deployment.startMachine(machine);
@@ -62,7 +60,7 @@
   }
 }
 
-/** All control replicas are killed right after a leave was acknowledged. */
+/** Kills all control replicas right after a departure is acknowledged. */
 async function killAllControls(
   deployment: SoakDeployment,
   random: Random,
@@ -75,21 +73,21 @@
   for (const machine of machines) {
     machine.signal("SIGKILL", ["control"]);
   }
-  await pause(randomDuration(random, ALL_AWAY));
+  await pause(randomDuration(random, GROUP_DOWNTIME_MS));
   for (const machine of machines) {
     deployment.startMachine(machine);
   }
   ends.forEach((end) => end());
 }
 
-/** A VM of the core is killed and comes back, with its disk or without. */
+/** Kills and restarts a control VM, with its disk or with an empty one. */
 async function killCore(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const machine = drawControl(deployment, random);
+  const machine = pickReplicaMachine(deployment, random);
   const losesDisk = random() < 0.5;
-  await disturbOne(deployment, random, {
+  await disturbMachine(deployment, random, {
     machine,
     disturb: async () => {
       machine.signal("SIGKILL");
@@ -97,34 +95,37 @@
       if (losesDisk) {
         machine.wipeDisk();
       }
-      await pause(randomDuration(random, AWAY));
+      await pause(randomDuration(random, VM_DOWNTIME_MS));
     },
     restore: () => deployment.startMachine(machine),
   });
 }
 
-/** A VM of the core stands still and goes on. */
+/** Stops and resumes the processes of a control VM. */
 async function freezeCore(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const machine = drawControl(deployment, random);
-  await disturbOne(deployment, random, {
+  const machine = pickReplicaMachine(deployment, random);
+  await disturbMachine(deployment, random, {
     machine,
     disturb: async () => {
       machine.signal("SIGSTOP");
-      await leaveMeanwhile(deployment, random);
+      await departDuringFault(deployment, random);
     },
     restore: () => machine.signal("SIGCONT"),
   });
 }
 
-/** A VM of the core is cut off from the core or from all, or one way. */
+/**
+ * Partitions a control VM from the other control VMs or from all VMs, in one
+ * direction or both.
+ */
 async function cutCore(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const machine = drawControl(deployment, random);
+  const machine = pickReplicaMachine(deployment, random);
   const others = random() < 0.5
     ? deployment.replicaMachines()
     : deployment.activeMachines();
@@ -136,64 +137,64 @@
       pairs.push([host, machine.host]);
     }
   }
-  await disturbOne(deployment, random, {
+  await disturbMachine(deployment, random, {
     machine,
     disturb: async () => {
       pairs.forEach(([from, to]) => deployment.proxy.partition(from, to));
-      await leaveMeanwhile(deployment, random);
+      await departDuringFault(deployment, random);
     },
     restore: () =>
       pairs.forEach(([from, to]) => deployment.proxy.heal(from, to)),
   });
 }
 
-/** The disk of a VM of the core is slow, hangs or takes nothing. */
+/** Makes the disk of a control VM slow, very slow or full. */
 async function spoilDisk(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const machine = drawControl(deployment, random);
+  const machine = pickReplicaMachine(deployment, random);
   const kinds = [{ syncDelay: 60 }, { syncDelay: 2000 }, { isDiskFull: true }];
   const faults = kinds[Math.floor(random() * kinds.length)]!;
-  await disturbOne(deployment, random, {
+  await disturbMachine(deployment, random, {
     machine,
     disturb: async () => {
       machine.injectFaults(faults);
-      await leaveMeanwhile(deployment, random);
+      await departDuringFault(deployment, random);
     },
     restore: () => machine.injectFaults({}),
   });
 }
 
-/** The wall clock of a VM of the core jumps, and back. */
+/** Steps the wall clock of a control VM and restores it. */
 async function stepClock(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const machine = drawControl(deployment, random);
+  const machine = pickReplicaMachine(deployment, random);
   const clockAhead = Math.round((random() - 0.5) * 8000);
-  await disturbOne(deployment, random, {
+  await disturbMachine(deployment, random, {
     machine,
     disturb: async () => {
       machine.injectFaults({ clockAhead });
-      await leaveMeanwhile(deployment, random);
+      await departDuringFault(deployment, random);
     },
     restore: () => machine.injectFaults({}),
   });
 }
 
-/** A VM of the core goes for good; an empty one takes its place. */
+/** Removes a control VM permanently and adds an empty replacement. */
 async function replaceCore(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const machine = drawControl(deployment, random);
+  const machine = pickReplicaMachine(deployment, random);
   const isPlanned = random() < 0.4;
   const end = deployment.beginControlDisturbance(machine.host);
   if (!isPlanned) {
     machine.signal("SIGKILL");
     machine.removedAt = performance.now();
-    await pause(randomDuration(random, AWAY));
+    await pause(randomDuration(random, VM_DOWNTIME_MS));
   }
   const next = deployment.addMachine(machine.zone, {
     hasControlProcess: true,
@@ -208,10 +209,10 @@
   }
   end();
   deployment.beginDisturbance(next.host)();
-  await leaveAfterReturn(deployment, random, next);
+  await departAfterRecovery(deployment, random, next);
 }
 
-/** VMs are stopped in good order and started again, one after the other. */
+/** Shuts down and restarts some VMs, one after the other. */
 async function restartInTurn(
   deployment: SoakDeployment,
   random: Random,
@@ -224,17 +225,20 @@
       ? deployment.beginControlDisturbance(machine.host)
       : deployment.beginDisturbance(machine.host);
     machine.signal("SIGTERM");
-    const leaving = random() < 0.4
+    const departing = random() < 0.4
       ? replaceUpstream(deployment, random)
       : undefined;
     await machine.waitForExit();
     deployment.startMachine(machine);
     end();
-    await leaving;
+    await departing;
   }
 }
 
-/** Troubles of the core come one at a time; they must leave it time. */
+/**
+ * Faults of control VMs. They run one at a time with a recovery pause between
+ * them, and are reported under their function names.
+ */
 export const controlFaultScenarios: readonly FaultScenario[] = [
   loseAcknowledger,
   killAllControls,
@@ -247,8 +251,8 @@
   restartInTurn,
 ];
 
-/** One VM is disturbed; upstreams of its zone leave soon after it is back. */
-async function disturbOne(
+/** Injects a fault into one VM; upstreams of its zone depart after recovery. */
+async function disturbMachine(
   deployment: SoakDeployment,
   random: Random,
   { machine, disturb, restore }: {
@@ -261,30 +265,33 @@
   await disturb();
   restore();
   end();
-  await leaveAfterReturn(deployment, random, machine);
+  await departAfterRecovery(deployment, random, machine);
 }
 
-async function leaveMeanwhile(
+async function departDuringFault(
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
   await pause(randomDuration(random, { min: 0, spread: 1500 }));
-  const leaving = replaceUpstream(deployment, random);
-  await pause(randomDuration(random, DISTURBED));
-  // One that finds no replica tries for seconds, longer than the trouble is.
-  void leaving;
+  const departing = replaceUpstream(deployment, random);
+  await pause(randomDuration(random, FAULT_DURATION_MS));
+  // Isn't awaited: without a reachable replica, retries outlast the fault.
+  void departing;
 }
 
-async function leaveAfterReturn(
+async function departAfterRecovery(
   deployment: SoakDeployment,
   random: Random,
   { zone }: Machine,
 ): Promise<void> {
-  await pause(randomDuration(random, LEAVE_AFTER_RETURN));
+  await pause(randomDuration(random, DEPARTURE_DELAY_MS));
   await replaceUpstream(deployment, random, { zone });
 }
 
-function drawControl(deployment: SoakDeployment, random: Random): Machine {
+function pickReplicaMachine(
+  deployment: SoakDeployment,
+  random: Random,
+): Machine {
   const controls = deployment.replicaMachines();
   return controls[Math.floor(random() * controls.length)]!;
 }
--- a/packages/soak/crashing_requests.ts
+++ b/packages/soak/crashing_requests.ts
@@ -3,11 +3,11 @@
 import type { SoakDocument } from "./soak_document.ts";
 import type { ProgramAdapter } from "./program_adapter.ts";
 
-/** Part of the path of requests that end each upstream that runs them. */
+/** Path segment that identifies crashing requests. */
 const PATH_MARKER = "crashes-";
 const REQUEST_TIMEOUT: Milliseconds = 3000;
 
-/** A request that ends each upstream that runs it. */
+/** A request that crashes each upstream that runs it. */
 type CrashingRequest = {
   readonly path: string;
   readonly isNonIdempotent: boolean;
@@ -17,11 +17,11 @@
   readonly adapter: ProgramAdapter;
   readonly random: Random;
   readonly document: () => SoakDocument;
-  /** Callers' addresses of the entries. */
+  /** Caller addresses of the entries. */
   readonly listEntries: () => readonly string[];
 };
 
-/** Makes and sends requests that end upstreams. */
+/** Creates and sends requests that crash upstreams. */
 export class CrashingRequests {
   readonly #options: CrashingRequestsOptions;
   #createdCount = 0;
@@ -31,12 +31,12 @@
     this.#options = options;
   }
 
-  /** Whether a request is one of them. */
+  /** Whether a path belongs to a crashing request. */
   isCrashing(path: string): boolean {
     return path.includes(PATH_MARKER);
   }
 
-  /** One unlike any before. */
+  /** Creates a request with a path that wasn't used before. */
   create({ isNonIdempotent }: { isNonIdempotent: boolean }): CrashingRequest {
     const { nonIdempotentPrefix, idempotentPrefix } = this.#options.document();
     this.#createdCount += 1;
@@ -47,7 +47,7 @@
     };
   }
 
-  /** Sends it to one entry, drawn anew each time. */
+  /** Sends the request to a random entry. */
   async send({ path, isNonIdempotent }: CrashingRequest): Promise<void> {
     const { adapter, random, document, listEntries } = this.#options;
     const entries = listEntries();
--- a/packages/soak/disturbance_log.ts
+++ b/packages/soak/disturbance_log.ts
@@ -1,33 +1,33 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** A time in which something was disturbed; open while it goes on. */
+/** Interval of a fault; `until` is infinite while it lasts. */
 type Disturbance = { readonly from: Milliseconds; until: Milliseconds };
 
 /**
- * When each VM, and the group of control replicas as a whole, was last
- * disturbed. What is promised within a bound is promised by VMs that have been
- * calm for a while: a process that was just killed can't keep a time.
+ * Records when each VM, and the group of control replicas as a whole, is
+ * affected by an injected fault. Time bounds are checked only for targets that
+ * have been undisturbed for a while.
  */
 export class DisturbanceLog {
   readonly #disturbances = new Map<string, Disturbance[]>();
-  /** How long something must have been calm. */
+  /** Time without a fault after which a target counts as undisturbed. */
   readonly #requiredTime: Milliseconds;
 
-  constructor(needed: Milliseconds) {
-    this.#requiredTime = needed;
+  constructor(requiredTime: Milliseconds) {
+    this.#requiredTime = requiredTime;
   }
 
-  /** Notes that something begins to be disturbed; ends when told so. */
-  begin(what: string, at: Milliseconds): () => void {
+  /** Records the start of a fault; the returned function ends it. */
+  begin(target: string, at: Milliseconds): () => void {
     const disturbance = { from: at, until: Infinity };
-    const known = this.#disturbances.get(what) ?? [];
-    this.#disturbances.set(what, [...known, disturbance]);
+    const recorded = this.#disturbances.get(target) ?? [];
+    this.#disturbances.set(target, [...recorded, disturbance]);
     return () => disturbance.until = performance.now();
   }
 
-  /** Whether something was calm at a time and for long enough before. */
-  wasUndisturbed(what: string, at: Milliseconds): boolean {
-    for (const { from, until } of this.#disturbances.get(what) ?? []) {
+  /** Whether a target was undisturbed at a time and long enough before. */
+  wasUndisturbed(target: string, at: Milliseconds): boolean {
+    for (const { from, until } of this.#disturbances.get(target) ?? []) {
       if (from <= at && until > at - this.#requiredTime) {
         return false;
       }
@@ -35,14 +35,14 @@
     return true;
   }
 
-  /** Time since something was last disturbed. */
-  undisturbedTime(what: string, at: Milliseconds): Milliseconds {
-    let calm = Infinity;
-    for (const { from, until } of this.#disturbances.get(what) ?? []) {
+  /** Time since the last fault of a target ended; infinite without one. */
+  undisturbedTime(target: string, at: Milliseconds): Milliseconds {
+    let time = Infinity;
+    for (const { from, until } of this.#disturbances.get(target) ?? []) {
       if (from <= at) {
-        calm = Math.min(calm, Math.max(0, at - until));
+        time = Math.min(time, Math.max(0, at - until));
       }
     }
-    return calm;
+    return time;
   }
 }
--- a/packages/soak/fault_scenario.ts
+++ b/packages/soak/fault_scenario.ts
@@ -2,8 +2,9 @@
 import type { SoakDeployment } from "./soak_deployment.ts";
 
 /**
- * Something that goes wrong in a deployment; resolves when all is back. Random
- * numbers are of its series, so that the troubles of a seed stay the same.
+ * Injects a fault into a deployment; resolves when the fault is over. Each
+ * series of scenarios has its own random numbers, so that a seed always gives
+ * the same series.
  */
 export type FaultScenario = (
   deployment: SoakDeployment,
--- a/packages/soak/finding.ts
+++ b/packages/soak/finding.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** A promise that a soak saw broken. @public */
+/** A guarantee that was violated during a soak. @public */
 export type Finding = {
   readonly promise:
     | "leaving"
@@ -11,7 +11,7 @@
     | "rejected"
     | "configuration"
     | "recovery";
-  /** Time since the soak began. */
+  /** Time since the start of the soak. */
   readonly at: Milliseconds;
   readonly text: string;
 };
--- a/packages/soak/guarantee_checks.ts
+++ b/packages/soak/guarantee_checks.ts
@@ -4,38 +4,38 @@
 import type { RequestOutcome } from "./soak_caller.ts";
 import type { AcknowledgedDeparture } from "./soak_upstream.ts";
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that guarantee that a request didn't run and never will. */
 const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
 
-/** Ends of upstreams under one request that are borne. */
+/** Crashes after which a request must no longer be forwarded. */
 const MAX_CRASHES = 3;
-/** Time after which all entries must know of the last one of these. */
+/** Time within which all entries must have a record of the last crash. */
 const SUSPECT_PROPAGATION_TIME: Milliseconds = 3000;
-/** Times that the request may reach upstreams after that. */
+/** Requests that may still reach upstreams after that time. */
 const MAX_LATE_REQUESTS = 3;
 
-/** What is known of a request that ends upstreams. */
+/** Record of a request that crashes upstreams. */
 type CrashingRequest = {
   readonly crashedAt: Milliseconds[];
   lateCount: number;
 };
 
-/** What is known of the VMs at a time. */
+/** Facts about the deployment that the checks depend on. */
 type Environment = {
-  /** Time for which an upstream that leaves goes on serving. */
+  /** Time for which a departing upstream may still receive requests. */
   readonly drainTime: Milliseconds;
-  /** Whether the replica at an operators' address was calm at a time. */
+  /** Whether the replica at an operator address was undisturbed at a time. */
   readonly wasReplicaUndisturbed: (
     address: string,
     at: Milliseconds,
   ) => boolean;
-  /** Whether the entry on a host was calm at a time. */
+  /** Whether the entry on a host was undisturbed at a time. */
   readonly wasEntryUndisturbed: (host: string, at: Milliseconds) => boolean;
-  /** What a reader of a finding wants to know of a host at a time. */
+  /** Describes the state of a host at a time, for the text of a finding. */
   readonly describe: (host: string, at: Milliseconds) => string;
 };
 
-/** What callers and upstreams saw, checked against what is promised. */
+/** Checks what callers and upstreams observe against the guarantees. */
 export class GuaranteeChecks {
   readonly #startedAt = performance.now();
   readonly #environment: Environment;
@@ -45,7 +45,10 @@
   readonly #runs = new Map<string, ReceivedRequest[]>();
   readonly #refusals = new Map<string, number>();
   readonly #crashing = new Map<string, CrashingRequest>();
-  /** Latest arrival after an acknowledged leave, from calm entries or any. */
+  /**
+   * Longest time from an acknowledged departure to a request that was received
+   * after it: from undisturbed entries, and from any.
+   */
   latest = { undisturbed: 0, any: 0 };
   leaves = 0;
 
@@ -62,33 +65,34 @@
     this.#findings.push({ promise, at, text });
   }
 
-  recordDeparture(leave: AcknowledgedDeparture): void {
-    this.#departures.set(leave.upstream, leave);
+  recordDeparture(departure: AcknowledgedDeparture): void {
+    this.#departures.set(departure.upstream, departure);
     this.leaves += 1;
   }
 
-  /** Notes that an upstream has ended under a request. */
+  /** Records that an upstream crashed while running a request. */
   recordCrash(target: string): void {
-    const known = this.#crashing.get(target) ?? { crashedAt: [], lateCount: 0 };
-    known.crashedAt.push(performance.now());
-    this.#crashing.set(target, known);
+    const crashing = this.#crashing.get(target) ??
+      { crashedAt: [], lateCount: 0 };
+    crashing.crashedAt.push(performance.now());
+    this.#crashing.set(target, crashing);
   }
 
-  /** How often upstreams ended under each of the requests that end them. */
+  /** Number of upstreams that each crashing request crashed. */
   get crashes(): readonly number[] {
     return [...this.#crashing.values()].map(({ crashedAt }) =>
       crashedAt.length
     );
   }
 
-  /** Checks that a request that ends upstreams isn't sent on for long. */
+  /** Checks that entries soon stop forwarding a crashing request. */
   #checkCrashing({ target, from, at }: ReceivedRequest): void {
     const crashing = this.#crashing.get(target);
-    const lastBorne = crashing?.crashedAt[MAX_CRASHES - 1];
-    if (crashing === undefined || lastBorne === undefined) {
+    const lastAllowed = crashing?.crashedAt[MAX_CRASHES - 1];
+    if (crashing === undefined || lastAllowed === undefined) {
       return;
     }
-    const after = at - lastBorne;
+    const after = at - lastAllowed;
     if (
       after > SUSPECT_PROPAGATION_TIME &&
       this.#environment.wasEntryUndisturbed(from, at)
@@ -97,46 +101,50 @@
       if (crashing.lateCount === MAX_LATE_REQUESTS + 1) {
         this.report(
           "crashing",
-          `${target} still reaches upstreams ${Math.round(after)} ms after ` +
-            `the third one ended under it; sent by ` +
+          `${target} is still received by upstreams ${
+            Math.round(after)
+          } ms after ` +
+            `the third one crashed while running it; sent by ` +
             this.#environment.describe(from, at),
         );
       }
     }
   }
 
-  /** Checks that nothing reaches an upstream that left long enough ago. */
+  /** Checks that an upstream receives nothing once its drain time is over. */
   checkReceived(arrival: ReceivedRequest): void {
     this.#checkCrashing(arrival);
-    const leave = this.#departures.get(arrival.upstream);
-    if (leave === undefined) {
+    const departure = this.#departures.get(arrival.upstream);
+    if (departure === undefined) {
       return;
     }
     const { drainTime, wasEntryUndisturbed, wasReplicaUndisturbed, describe } =
       this.#environment;
-    const after = arrival.at - leave.at;
+    const after = arrival.at - departure.at;
     this.latest.any = Math.max(this.latest.any, after);
-    const isBound = wasReplicaUndisturbed(leave.by, leave.at) &&
+    const isChecked = wasReplicaUndisturbed(departure.by, departure.at) &&
       wasEntryUndisturbed(arrival.from, arrival.at);
-    if (!isBound) {
+    if (!isChecked) {
       return;
     }
     this.latest.undisturbed = Math.max(this.latest.undisturbed, after);
-    // The first of each pair tells it all.
+    // Each pair of an upstream and an entry is reported once.
     const pair = `${arrival.upstream} ${arrival.from}`;
     if (after > drainTime && !this.#reportedPairs.has(pair)) {
       this.#reportedPairs.add(pair);
       this.report(
         "leaving",
-        `${arrival.upstream} was reached ${Math.round(after)} ms after ` +
-          `${leave.by} acknowledged that it ${leave.mode}; sent by ` +
+        `${arrival.upstream} received a request ${
+          Math.round(after)
+        } ms after ` +
+          `${departure.by} acknowledged that it ${departure.mode}; sent by ` +
           `${describe(arrival.from, arrival.at)}; the replica: ` +
-          describe(leave.by.split(":")[0]!, arrival.at),
+          describe(departure.by.split(":")[0]!, arrival.at),
       );
     }
   }
 
-  /** Checks that what may run once does. */
+  /** Checks that a non-idempotent request runs at most once. */
   checkRun(arrival: ReceivedRequest): void {
     if (!arrival.isNonIdempotent) {
       return;
@@ -149,7 +157,10 @@
     }
     const status = this.#refusals.get(arrival.attempt);
     if (status !== undefined) {
-      this.report("not_run", `${arrival.attempt} ran after a ${status}`);
+      this.report(
+        "not_run",
+        `${arrival.attempt} ran after it was refused with ${status}`,
+      );
     }
   }
 
@@ -160,12 +171,12 @@
       this.report("whole_answer", problem);
     }
     if (status >= 400 && status < 500 && !NOT_RUN_STATUSES.includes(status)) {
-      this.report("rejected", `${attempt} was answered with ${status}`);
+      this.report("rejected", `${attempt} was rejected with ${status}`);
     }
     if (isNonIdempotent && NOT_RUN_STATUSES.includes(status)) {
       this.#refusals.set(attempt, status);
       if (this.#runs.has(attempt)) {
-        this.report("not_run", `${attempt} ran and was refused by ${status}`);
+        this.report("not_run", `${attempt} ran and was refused with ${status}`);
       }
     }
   }
--- a/packages/soak/link_proxy.ts
+++ b/packages/soak/link_proxy.ts
@@ -1,30 +1,33 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { type Milliseconds, splitAddress } from "@heroncleat/base";
 
-/** First two numbers of the addresses at which halves of links are held. */
-const TICKET_NETWORK = "127.200";
-/** Tickets, one for each link that waits to be fetched. */
-const TICKETS = 60_000;
+/** Prefix of the addresses at which unclaimed links are fetched. */
+const CLAIM_NETWORK = "127.200";
+/** Number of claim addresses; each one stands for an unclaimed link. */
+const MAX_CLAIM_ADDRESSES = 60_000;
 
-/** Two hosts, the one that connects first. */
+/** Hosts of a link; `from` is the one that connects. */
 type LinkEndpoints = { readonly from: string; readonly to: string };
 
-/** What a link does to bytes in one direction. */
+/**
+ * How a link treats bytes in one direction: forwards them, buffers them, or
+ * discards them.
+ */
 type FlowState = "passing" | "held" | "lost";
 
-/** One connection by way of the proxy. */
+/** One connection through the proxy. */
 class Link {
   readonly endpoints: LinkEndpoints;
   readonly #delay: () => Milliseconds;
   readonly #sockets: { near: Socket | undefined; far: Socket };
-  /** Bytes on their way, oldest first, from the near and the far half. */
+  /** Buffered bytes, oldest first, by the side that sent them. */
   readonly #queues = { near: [] as Buffer[], far: [] as Buffer[] };
   readonly #flows: { near: FlowState; far: FlowState } = {
     near: "passing",
     far: "passing",
   };
   readonly #closedSides = new Set<"near" | "far">();
-  /** When the last bytes of a half are passed on. */
+  /** When the last bytes of each side are due to be forwarded. */
   readonly #dueAt: { near: Milliseconds; far: Milliseconds } = {
     near: 0,
     far: 0,
@@ -40,19 +43,19 @@
     this.#watch("far", options.far);
   }
 
-  /** Whether nothing can come over it any more. */
+  /** Whether both sides are closed. */
   get isClosed(): boolean {
     return this.#closedSides.size === 2;
   }
 
-  /** Takes the half of the process that connects. */
+  /** Attaches the socket of the process that connects. */
   attach(near: Socket): void {
     this.#sockets.near = near;
     this.#watch("near", near);
     this.#flush("far");
   }
 
-  /** Sets what happens to bytes that one host sends. */
+  /** Sets how the bytes that a host sends are treated. */
   setFlow(sender: string, flow: FlowState): void {
     const side = sender === this.endpoints.from ? "near" : "far";
     if (this.#flows[side] !== "lost") {
@@ -61,7 +64,7 @@
     }
   }
 
-  /** Breaks it so that both ends notice. */
+  /** Resets the connection on both sides. */
   reset(): void {
     for (const socket of [this.#sockets.near, this.#sockets.far]) {
       socket?.resetAndDestroy();
@@ -72,18 +75,18 @@
   #watch(side: "near" | "far", socket: Socket): void {
     socket.setNoDelay(true);
     socket.on("data", (bytes: Buffer) => {
-      // Bytes keep their order, also while the delay changes.
+      // Bytes stay in order even if the delay decreases.
       const now = performance.now();
       const due = Math.max(this.#dueAt[side], now + this.#delay());
       this.#dueAt[side] = due;
-      const take = () => {
+      const enqueue = () => {
         this.#queues[side].push(bytes);
         this.#flush(side);
       };
       if (due > now) {
-        setTimeout(take, due - now);
+        setTimeout(enqueue, due - now);
       } else {
-        take();
+        enqueue();
       }
     });
     socket.on("error", () => {});
@@ -93,7 +96,7 @@
     });
   }
 
-  /** Passes on what one half has sent, and then its end. */
+  /** Forwards the buffered bytes of one side, and then its close. */
   #flush(side: "near" | "far"): void {
     const other = side === "near" ? this.#sockets.far : this.#sockets.near;
     if (this.#flows[side] !== "passing" || other === undefined) {
@@ -110,8 +113,9 @@
 }
 
 /**
- * Every connection between VMs of a soak, in one place: it can be cut (one way,
- * too), reset, delayed, or fall silent for good while new ones work.
+ * Proxy for all connections between the VMs of a soak. It can partition hosts
+ * in one or both directions, reset or delay connections, and black-hole open
+ * connections while new ones work.
  *
  * @public
  */
@@ -120,9 +124,9 @@
   readonly #server: Server;
   readonly #links = new Set<Link>();
   readonly #unclaimedLinks = new Map<string, Link>();
-  /** Cut directions, as "from to". */
+  /** Partitioned directions, as "from to". */
   readonly #partitions = new Set<string>();
-  /** Links that are to be opened once their cut is over. */
+  /** Links that open once their partition heals, by requesting socket. */
   readonly #pendingConnects = new Map<Socket, () => void>();
   readonly #delays = new Map<string, Milliseconds>();
   #addressCounter = 0;
@@ -137,8 +141,8 @@
       this.#server.once("error", (error) => {
         reject(
           new Error(
-            `The links' port ${this.#port} can't be used: ${error.message}. ` +
-              "Remedy: end the soak that uses it, or give another slot.",
+            `Can't listen on the link proxy's port ${this.#port}: ${error.message}. ` +
+              "Remedy: stop the soak that uses it, or choose another slot.",
           ),
         );
       });
@@ -153,13 +157,13 @@
     this.#server.close();
   }
 
-  /** Holds back what one host sends another; new links hang. */
+  /** Buffers what one host sends to another; new links hang. */
   partition(from: string, to: string): void {
     this.#partitions.add(`${from} ${to}`);
     this.#setFlows({ from, to }, "held");
   }
 
-  /** Ends all cuts from one host to another; what was held arrives. */
+  /** Ends a partition in one direction and delivers the buffered bytes. */
   heal(from: string, to: string): void {
     this.#partitions.delete(`${from} ${to}`);
     this.#setFlows({ from, to }, "passing");
@@ -168,7 +172,7 @@
     }
   }
 
-  /** Lets open links between two hosts fall silent for good. */
+  /** Discards all further bytes on the open links between two hosts. */
   blackhole(left: string, right: string): void {
     this.#setFlows({ from: left, to: right }, "lost");
     this.#setFlows({ from: right, to: left }, "lost");
@@ -184,7 +188,7 @@
     }
   }
 
-  /** Delays what a host sends and receives by a time each way. */
+  /** Sets the delay of a host's traffic in each direction. */
   delay(host: string, time: Milliseconds): void {
     this.#delays.set(host, time);
   }
@@ -202,25 +206,25 @@
 
   #accept(socket: Socket): void {
     socket.on("error", () => {});
-    const ticket = socket.localAddress ?? "";
-    const link = this.#unclaimedLinks.get(ticket);
+    const claimAddress = socket.localAddress ?? "";
+    const link = this.#unclaimedLinks.get(claimAddress);
     if (link !== undefined) {
-      this.#unclaimedLinks.delete(ticket);
+      this.#unclaimedLinks.delete(claimAddress);
       link.attach(socket);
       return;
     }
-    let asked = "";
+    let requestLine = "";
     socket.on("data", (bytes) => {
-      asked += String(bytes);
-      if (asked.endsWith("\n")) {
-        const [from, target] = asked.trim().split(" ");
+      requestLine += String(bytes);
+      if (requestLine.endsWith("\n")) {
+        const [from, target] = requestLine.trim().split(" ");
         this.#open(socket, { from: from!, target: target! });
       }
     });
   }
 
   #open(
-    asking: Socket,
+    requester: Socket,
     { from, target }: { from: string; target: string },
   ): void {
     const { host: to, port } = splitAddress(target);
@@ -229,23 +233,23 @@
       this.#partitions.has(`${to} ${from}`)
     ) {
       this.#pendingConnects.set(
-        asking,
-        () => this.#open(asking, { from, target }),
+        requester,
+        () => this.#open(requester, { from, target }),
       );
       return;
     }
-    this.#pendingConnects.delete(asking);
-    if (asking.destroyed) {
+    this.#pendingConnects.delete(requester);
+    if (requester.destroyed) {
       return;
     }
     const far = connect({ host: to, port, localAddress: from });
-    far.once("error", () => asking.end("refused\n"));
+    far.once("error", () => requester.end("refused\n"));
     far.once("connect", () => {
       const delay = () => this.#delayOf(from) + this.#delayOf(to);
       const link = new Link({ from, to }, { far, delay });
       this.#links.add(link);
       this.#removeClosed();
-      asking.end(`${this.#assignAddress(link)}\n`);
+      requester.end(`${this.#assignAddress(link)}\n`);
     });
   }
 
@@ -254,12 +258,12 @@
   }
 
   #assignAddress(link: Link): string {
-    this.#addressCounter = (this.#addressCounter + 1) % TICKETS;
+    this.#addressCounter = (this.#addressCounter + 1) % MAX_CLAIM_ADDRESSES;
     const high = Math.floor(this.#addressCounter / 250);
     const low = 1 + this.#addressCounter % 250;
-    const ticket = `${TICKET_NETWORK}.${high}.${low}`;
-    this.#unclaimedLinks.set(ticket, link);
-    return ticket;
+    const claimAddress = `${CLAIM_NETWORK}.${high}.${low}`;
+    this.#unclaimedLinks.set(claimAddress, link);
+    return claimAddress;
   }
 
   #removeClosed(): void {
--- a/packages/soak/machine.ts
+++ b/packages/soak/machine.ts
@@ -13,43 +13,43 @@
 import type { MachinePlan } from "./machine_plan.ts";
 import type { ProgramAdapter } from "./program_adapter.ts";
 
-/** Preloaded into each process; see the files. */
-const PRELOADED = ["redirect_sockets.mjs", "inject_faults.mjs"].flatMap(
+/** Preload scripts that redirect connections and inject faults. */
+const PRELOAD_ARGS = ["redirect_sockets.mjs", "inject_faults.mjs"].flatMap(
   (name) => ["--import", new URL(`../${name}`, import.meta.url).pathname],
 );
 
-/** What is wrong with a VM's disk and clock; nothing where absent. */
+/** Faults of a VM's disk and clocks. */
 type InjectedFaults = {
-  /** Time that each sync takes longer. */
+  /** Extra time that each sync takes. */
   readonly syncDelay?: Milliseconds;
   readonly isDiskFull?: boolean;
   readonly clockAhead?: Milliseconds;
-  /** Time for which it was suspended; its steady clock didn't count that. */
+  /** Suspended time, which the steady clock of its processes leaves out. */
   readonly suspendedFor?: Milliseconds;
 };
 
 type Role = "entry" | "control";
 
-/** One VM of a soak: its real processes, its disk and its address. */
+/** One VM of a soak: its processes, its disk and its loopback address. */
 export class Machine {
   readonly name: string;
   readonly zone: string;
   readonly host: string;
   readonly hasControlProcess: boolean;
-  /** Whether its control process holds a replica; else it passes calls on. */
+  /** Whether its control process runs a replica; otherwise it is a proxy. */
   readonly hasReplica: boolean;
-  /** When its entry last began to run. */
+  /** When its entry process last started. */
   startedAt: Milliseconds = 0;
-  /** From when on others know of it; later than it starts if it was added. */
+  /** When other parties discover it; after its start for an added VM. */
   readonly discoverableFrom: Milliseconds;
-  /** When it went for good. */
+  /** When it was removed permanently. */
   removedAt: Milliseconds = Infinity;
   readonly #adapter: ProgramAdapter;
   readonly #folder: string;
   readonly #proxyAddress: string;
   #areStartsPrevented = false;
   readonly #processes = new Map<Role, ChildProcess>();
-  /** In all, since the soak began. */
+  /** Total suspended time since the start of the soak. */
   #suspendedFor: Milliseconds = 0;
 
   constructor(
@@ -82,7 +82,7 @@
     return this.hasControlProcess ? ["control", "entry"] : ["entry"];
   }
 
-  /** Address at which operators and upstreams reach its control process. */
+  /** Address of its control process for operators and upstreams. */
   get operatorAddress(): string {
     return `${this.host}:${this.#adapter.ports.operators}`;
   }
@@ -95,12 +95,12 @@
     return `${this.host}:${this.#adapter.ports.lookups}`;
   }
 
-  /** Starts nothing any more. */
+  /** Makes later calls of `start` do nothing. */
   preventStarts(): void {
     this.#areStartsPrevented = true;
   }
 
-  /** Starts those of its processes that don't run. */
+  /** Starts its processes that aren't running. */
   start(options: { seeds: readonly string[]; isFirstStart: boolean }): void {
     if (this.#areStartsPrevented) {
       return;
@@ -131,15 +131,15 @@
     }
   }
 
-  /** Sets what is wrong with its disk and clock, within 0.1 s. */
+  /** Replaces the injected faults; takes effect within 0.1 s. */
   injectFaults(faults: InjectedFaults): void {
-    // A reader sees the old file or the new one.
+    // The rename is atomic, so that readers never see a partial file.
     const content = { suspendedFor: this.#suspendedFor, ...faults };
     writeFileSync(`${this.#faultsFile}.new`, JSON.stringify(content));
     renameSync(`${this.#faultsFile}.new`, this.#faultsFile);
   }
 
-  /** Suspends the VM for a time; processes that start later know of none. */
+  /** Suspends the VM; processes that start later aren't affected. */
   async suspend(time: Milliseconds): Promise<void> {
     this.signal("SIGSTOP");
     const stoppedAt = performance.now();
@@ -149,14 +149,14 @@
     this.signal("SIGCONT");
   }
 
-  /** Resolves once all its processes have ended. */
+  /** Resolves once all its processes have exited. */
   async waitForExit(): Promise<void> {
     while (this.roles.some((role) => this.#isRunning(role))) {
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
   }
 
-  /** Empties its disk; its processes must have ended. */
+  /** Empties its disk; its processes must have exited. */
   wipeDisk(): void {
     rmSync(this.#dataFolder, { recursive: true, force: true });
   }
@@ -180,8 +180,8 @@
       this.startedAt = performance.now();
     }
     const log = openSync(join(this.#folder, `${this.name}-${role}.log`), "a");
-    const words = [...PRELOADED, ...this.#adapter.command(role)];
-    const child = spawn(process.execPath, words, {
+    const args = [...PRELOAD_ARGS, ...this.#adapter.command(role)];
+    const child = spawn(process.execPath, args, {
       stdio: ["ignore", log, log],
       env: {
         PATH: process.env["PATH"],
--- a/packages/soak/machine_plan.ts
+++ b/packages/soak/machine_plan.ts
@@ -1,12 +1,12 @@
-/** One VM as its processes are told of it. @public */
+/** Properties of a VM that its processes are configured with. @public */
 export type MachinePlan = {
   readonly name: string;
   readonly zone: string;
-  /** Loopback address that only this VM has. */
+  /** Loopback address of this VM alone. */
   readonly host: string;
-  /** Disk of its control replica; undefined where none runs. */
+  /** Data folder of its control replica; undefined without a replica. */
   readonly dataFolder: string | undefined;
-  /** Operators' addresses of up to three control replicas. */
+  /** Operator addresses of up to three control replicas. */
   readonly seeds: readonly string[];
   /** Whether the whole system starts for the first time. */
   readonly isFirstStart: boolean;
--- a/packages/soak/mod.ts
+++ b/packages/soak/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Soaks: a deployment of real processes under signals, restarts and cut
- * connections, with its promises checked from outside.
+ * Soak tests: a deployment of real processes under signals, restarts and
+ * network partitions, with its guarantees checked from outside.
  *
  * @module
  */
--- a/packages/soak/program_adapter.ts
+++ b/packages/soak/program_adapter.ts
@@ -10,15 +10,15 @@
 };
 
 /**
- * How a soak speaks to the program under test: names, formats and calls. They
- * are given to the soak, which decides what to say and when.
+ * Adapts a soak to the program under test: its commands, settings, header names
+ * and message formats.
  *
  * @public
  */
 export type ProgramAdapter = {
-  /** The program and its words for a role. */
+  /** Script and arguments that run a role. */
   readonly command: (role: "entry" | "control") => readonly string[];
-  /** Variable that holds the path of the settings file. */
+  /** Environment variable with the path of the settings file. */
   readonly settingsVariable: string;
   readonly writeSettings: (plan: MachinePlan) => string;
   readonly ports: {
@@ -28,12 +28,12 @@
   };
   readonly publish: (document: SoakDocument) => AdapterCall;
   readonly readDocument: AdapterCall;
-  /** The version of a configuration that was read. */
+  /** Extracts the version from a configuration document. */
   readonly parseVersion: (body: string) => number;
   readonly heartbeat: (report: UpstreamReport) => AdapterCall;
   readonly departure: (name: string) => AdapterCall;
   readonly lookup: (options: { host: string; zone: string }) => string;
-  /** Addresses of entries that a lookup names. */
+  /** Extracts the entry addresses from the response to a lookup. */
   readonly parseAddresses: (body: string) => readonly string[];
   readonly headers: {
     readonly attempt: string;
--- a/packages/soak/random_duration.ts
+++ b/packages/soak/random_duration.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, Random } from "@heroncleat/base";
 
-/** A time between a least one and so much more. */
+/** Draws a duration from `min` up to `min + spread`. */
 export function randomDuration(
   random: Random,
   { min, spread }: { min: Milliseconds; spread: Milliseconds },
--- a/packages/soak/received_request.ts
+++ b/packages/soak/received_request.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from "@heroncleat/base";
 
-/** A request as it reached an upstream. */
+/** A request as received by an upstream. */
 export type ReceivedRequest = {
   readonly attempt: string;
   readonly upstream: string;
--- a/packages/soak/replace_upstream.ts
+++ b/packages/soak/replace_upstream.ts
@@ -4,12 +4,12 @@
 import type { SoakDeployment } from "./soak_deployment.ts";
 import type { AcknowledgedDeparture, SoakUpstream } from "./soak_upstream.ts";
 
-/** How long an upstream serves on after its leave was acknowledged. */
-const SERVES_ON = { min: 2500, spread: 6000 };
-/** Part of the upstreams that say they leave once, and nothing more. */
-const DEPARTING = 0.6;
+/** Time from an acknowledged departure to the shutdown of the upstream. */
+const SHUTDOWN_DELAY_MS = { min: 2500, spread: 6000 };
+/** Share of the upstreams that report their departure without draining. */
+const DEPARTING_SHARE = 0.6;
 
-/** One upstream leaves, of a zone or of any; another one takes its place. */
+/** Makes an upstream of a zone, or of any zone, depart after adding another. */
 export async function replaceUpstream(
   deployment: SoakDeployment,
   random: Random,
@@ -20,22 +20,22 @@
     return undefined;
   }
   await deployment.addUpstream(upstream.zone);
-  const mode = random() < DEPARTING ? "departs" : "drains";
-  const leave = await upstream.depart(mode);
-  if (leave !== undefined) {
-    deployment.checks.recordDeparture(leave);
+  const mode = random() < DEPARTING_SHARE ? "departs" : "drains";
+  const departure = await upstream.depart(mode);
+  if (departure !== undefined) {
+    deployment.checks.recordDeparture(departure);
   }
-  const after = randomDuration(random, SERVES_ON);
-  void endLater(deployment, upstream, { mode, after });
-  return leave;
+  const delay = randomDuration(random, SHUTDOWN_DELAY_MS);
+  void shutDownLater(deployment, upstream, { mode, delay });
+  return departure;
 }
 
-async function endLater(
+async function shutDownLater(
   deployment: SoakDeployment,
   upstream: SoakUpstream,
-  { mode, after }: { mode: "drains" | "departs"; after: Milliseconds },
+  { mode, delay }: { mode: "drains" | "departs"; delay: Milliseconds },
 ): Promise<void> {
-  await pause(after);
+  await pause(delay);
   await upstream.shutDown(mode);
   deployment.removeUpstream(upstream);
 }
--- a/packages/soak/run_soak.ts
+++ b/packages/soak/run_soak.ts
@@ -11,42 +11,45 @@
 import { pause } from "./pause.ts";
 import { backgroundFaultScenarios } from "./background_fault_scenarios.ts";
 
-/** Time without another loss in the core, so that one is lost at once. */
-const CATCH_UP: Milliseconds = 4500;
-/** Pause between troubles beside those of the core. */
-const SIDE_PAUSE = { min: 300, spread: 1500 };
-/** Calm time at the end in which everything must be served again. */
+/** Pause between control faults, so that the group recovers from each. */
+const CONTROL_PAUSE: Milliseconds = 4500;
+/** Pause between background faults. */
+const BACKGROUND_PAUSE_MS = { min: 300, spread: 1500 };
+/** Time without faults at the end, after which requests must be served. */
 const RECOVERY_TIME: Milliseconds = 8000;
 const MEASURED_TIME: Milliseconds = 4000;
-/** Part of the requests that must be served then. */
-const SERVED_AFTER = 0.95;
+/** Share of the requests that must be served after recovery. */
+const MIN_SERVED_SHARE = 0.95;
 
-/** Series of random numbers for each seed. */
-const STREAMS = 16;
-/** An odd number with its bits mixed: 2^32 divided by the golden ratio. */
-const SPREAD = 0x9e3779b1;
+/** Random number streams reserved for each seed. */
+const STREAMS_PER_SEED = 16;
+/** 2^32 divided by the golden ratio: Fibonacci hashing. */
+const HASH_MULTIPLIER = 0x9e3779b1;
 
-/** What a soak came to. @public */
+/** Result of a soak. @public */
 export type SoakReport = {
   readonly seed: number;
   readonly findings: readonly Finding[];
-  /** Troubles that were played, by name. */
+  /** Number of runs of each fault scenario, by function name. */
   readonly troubles: Readonly<Record<string, number>>;
   readonly leaves: number;
-  /** Latest request after an acknowledged leave: from calm VMs, from any. */
+  /**
+   * Longest time in ms from an acknowledged departure to a request received
+   * after it: from undisturbed VMs, and from any.
+   */
   readonly latest: { readonly undisturbed: number; readonly any: number };
-  /** Upstreams that ended under each request that ends them. */
+  /** Number of upstreams that each crashing request crashed. */
   readonly crashes: readonly number[];
-  /** Requests by status; 0 where no whole answer came. */
+  /** Requests by HTTP status; 0 stands for no complete response. */
   readonly outcomes: Readonly<Record<string, number>>;
 };
 
 /**
- * Runs a deployment of real processes, disturbs it for a time, and checks from
- * what callers and upstreams see that its promises hold.
+ * Runs a deployment of real processes, injects faults for a time, and checks
+ * its guarantees from what callers and upstreams observe.
  *
- * Which troubles come follows from the seed; on whom and when exactly they
- * strike depends on the machine, so a seed that fails may need several runs to
+ * The seed determines the sequence of fault scenarios. Their targets and exact
+ * times also depend on scheduling, so a failing seed may need several runs to
  * fail again.
  *
  * @public
@@ -56,22 +59,22 @@
   duration: Milliseconds;
   adapter: ProgramAdapter;
   folder: string;
-  /** Number among the soaks that run at once; each uses other addresses. */
+  /** Index among concurrent soaks; each slot uses different addresses. */
   slot: number;
-  /** Ends it early; what was seen until then is reported. */
+  /** Ends the soak early; the report covers the time until then. */
   signal: AbortSignal;
 }): Promise<SoakReport> {
-  const random = streamOf(options.seed, 0);
+  const random = createRandomStream(options.seed, 0);
   const deployment = new SoakDeployment({ ...options, random });
   const played: Record<string, number> = {};
-  const over = new AbortController();
+  const finished = new AbortController();
   try {
     await Promise.race([
-      play(deployment, options, played),
-      aborted(options, over.signal),
+      injectFaults(deployment, options, played),
+      aborted(options, finished.signal),
     ]);
   } finally {
-    over.abort();
+    finished.abort();
     await deployment.stop();
   }
   const { findings, leaves, latest, crashes } = deployment.checks;
@@ -89,7 +92,7 @@
   };
 }
 
-async function play(
+async function injectFaults(
   deployment: SoakDeployment,
   { duration, seed }: { duration: Milliseconds; seed: number },
   played: Record<string, number>,
@@ -98,8 +101,16 @@
   const until = performance.now() + duration;
   const note = (name: string) => played[name] = (played[name] ?? 0) + 1;
   await Promise.all([
-    disturbCore(deployment, { until, note, random: streamOf(seed, 1) }),
-    disturbBeside(deployment, { until, note, random: streamOf(seed, 2) }),
+    injectControlFaults(deployment, {
+      until,
+      note,
+      random: createRandomStream(seed, 1),
+    }),
+    injectBackgroundFaults(deployment, {
+      until,
+      note,
+      random: createRandomStream(seed, 2),
+    }),
   ]);
   await pause(RECOVERY_TIME);
   await checkServed(deployment);
@@ -107,71 +118,73 @@
 }
 
 /**
- * One of several independent series of random numbers of a seed. Neighbouring
- * seeds would begin with nearly the same numbers, so they are spread.
+ * Creates one of the independent random number streams of a seed. The hash
+ * keeps adjacent seeds from starting with similar numbers.
  */
-function streamOf(seed: number, stream: number): Random {
-  return createSeededRandom(Math.imul(seed * STREAMS + stream, SPREAD));
+function createRandomStream(seed: number, stream: number): Random {
+  return createSeededRandom(
+    Math.imul(seed * STREAMS_PER_SEED + stream, HASH_MULTIPLIER),
+  );
 }
 
-/** Resolves when a soak is told to stop, unless it is over before. */
+/** Resolves when the soak is aborted, unless it finishes first. */
 function aborted(
   { signal }: { signal: AbortSignal },
-  over: AbortSignal,
+  finished: AbortSignal,
 ): Promise<void> {
   return new Promise((resolve) => {
-    const options = { once: true, signal: over };
+    const options = { once: true, signal: finished };
     signal.addEventListener("abort", () => resolve(), options);
   });
 }
 
-type TroubleOptions = {
+type ScenarioOptions = {
   until: Milliseconds;
   note: (name: string) => void;
-  /** Of its own, so that the series follows from the seed. */
+  /** Used by this loop alone, so that the sequence depends on the seed. */
   random: Random;
 };
 
-async function disturbCore(
+async function injectControlFaults(
   deployment: SoakDeployment,
-  { until, note, random }: TroubleOptions,
+  { until, note, random }: ScenarioOptions,
 ): Promise<void> {
   while (performance.now() < until) {
     const at = Math.floor(random() * controlFaultScenarios.length);
     note(controlFaultScenarios[at]!.name);
     await controlFaultScenarios[at]!(deployment, random);
-    await pause(CATCH_UP);
+    await pause(CONTROL_PAUSE);
   }
 }
 
-async function disturbBeside(
+async function injectBackgroundFaults(
   deployment: SoakDeployment,
-  { until, note, random }: TroubleOptions,
+  { until, note, random }: ScenarioOptions,
 ): Promise<void> {
-  const underWay: Promise<void>[] = [];
+  const running: Promise<void>[] = [];
   while (performance.now() < until) {
     const at = Math.floor(random() * backgroundFaultScenarios.length);
     note(backgroundFaultScenarios[at]!.name);
-    underWay.push(backgroundFaultScenarios[at]!(deployment, random));
-    await pause(randomDuration(random, SIDE_PAUSE));
+    running.push(backgroundFaultScenarios[at]!(deployment, random));
+    await pause(randomDuration(random, BACKGROUND_PAUSE_MS));
   }
-  await Promise.all(underWay);
+  await Promise.all(running);
 }
 
 async function checkServed(deployment: SoakDeployment): Promise<void> {
   const before = new Map(deployment.outcomes);
   await pause(MEASURED_TIME);
-  let all = 0;
+  let total = 0;
   let served = 0;
   for (const [status, count] of deployment.outcomes) {
-    const since = count - (before.get(status) ?? 0);
-    all += since;
-    served += status === 200 ? since : 0;
+    const added = count - (before.get(status) ?? 0);
+    total += added;
+    served += status === 200 ? added : 0;
   }
-  if (all === 0 || served < SERVED_AFTER * all) {
+  if (total === 0 || served < MIN_SERVED_SHARE * total) {
     deployment.checks.report(
       "recovery",
-      `${served} of ${all} requests were served in the calm at the end`,
+      `${served} of ${total} requests were served after the faults ended`,
     );
   }
 }
--- a/packages/soak/send_http_request.ts
+++ b/packages/soak/send_http_request.ts
@@ -1,20 +1,19 @@
 import { type Agent, request } from "node:http";
 import { type Milliseconds, splitAddress } from "@heroncleat/base";
 
-/** What came back. */
 type HttpResponse = {
   readonly status: number;
   readonly body: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 };
 
-/** Why there is no whole answer. */
+/** Why no complete response arrived. */
 type HttpFailure = { readonly status: 0; readonly reason: string };
 
 /**
- * Makes one HTTP call and reads its whole answer.
+ * Sends one HTTP request and reads the complete response.
  *
- * @returns The answer; status 0 where none came whole within the time.
+ * @returns The response; status 0 if it isn't complete within the timeout.
  */
 export function sendHttpRequest(
   address: string,
@@ -30,7 +29,7 @@
   const { host, port } = splitAddress(address);
   const bytes = Buffer.from(options.body ?? "");
   return new Promise((resolve) => {
-    const outgoing = request({
+    const clientRequest = request({
       host,
       port,
       method: options.method,
@@ -43,12 +42,12 @@
     });
     const fail = (reason: string) => {
       clearTimeout(timer);
-      outgoing.destroy();
+      clientRequest.destroy();
       resolve({ status: 0, reason });
     };
     const timer = setTimeout(() => fail("timeout"), options.timeout);
-    outgoing.on("error", (error) => fail(error.message));
-    outgoing.on("response", (response) => {
+    clientRequest.on("error", (error) => fail(error.message));
+    clientRequest.on("response", (response) => {
       const chunks: Buffer[] = [];
       response.on("data", (chunk: Buffer) => chunks.push(chunk));
       response.on("error", (error) => fail(error.message));
@@ -61,6 +60,6 @@
         });
       });
     });
-    outgoing.end(bytes);
+    clientRequest.end(bytes);
   });
 }
--- a/packages/soak/upstream_report.ts
+++ b/packages/soak/upstream_report.ts
@@ -1,4 +1,4 @@
-/** What an upstream says of itself. @public */
+/** Status that an upstream reports about itself. @public */
 export type UpstreamReport = {
   readonly name: string;
   readonly service: string;
@@ -7,6 +7,6 @@
   readonly slots: number;
   readonly state: "ready" | "draining";
   readonly sequence: number;
-  /** When this start began, in ms since 1970. */
+  /** Start time of this instance, in ms since the Unix epoch. */
   readonly born: number;
 };
