--- a/packages/local_deployment/deployed_control.ts
+++ b/packages/local_deployment/deployed_control.ts
@@ -4,7 +4,7 @@
   readonly settingsFile: string;
   readonly operatorAddress: string;
   readonly dataFolder: string;
-  /** Where the process listens for peers, and where they connect to. */
+  /** Addresses on which the process listens, and to which peers connect. */
   readonly peerAddress: string;
   readonly advertisedAddress: string;
 };
--- a/packages/local_deployment/deployed_entry.ts
+++ b/packages/local_deployment/deployed_entry.ts
@@ -4,7 +4,7 @@
   readonly zone: string;
   readonly settingsFile: string;
   readonly callerAddress: string;
-  /** Where the process listens for peers, and where they connect to. */
+  /** Addresses on which the process listens, and to which peers connect. */
   readonly peerAddress: string;
   readonly advertisedAddress: string;
 };
--- a/packages/local_deployment/deployment.ts
+++ b/packages/local_deployment/deployment.ts
@@ -8,7 +8,7 @@
   readonly controls: readonly DeployedControl[];
   readonly entries: readonly DeployedEntry[];
   readonly upstreams: readonly DeployedUpstream[];
-  /** Keys of callers by workspace. */
+  /** Caller keys by workspace. */
   readonly callerKeys: Readonly<Record<string, string>>;
   readonly operatorToken: string;
   readonly tokenFile: string;
--- a/packages/local_deployment/find_address_in_use.ts
+++ b/packages/local_deployment/find_address_in_use.ts
@@ -3,8 +3,8 @@
 import type { Deployment } from "./deployment.ts";
 
 /**
- * The first address of a deployment on which something listens already;
- * undefined when all are free.
+ * Returns the first address of a deployment that is already in use; undefined
+ * if all are free.
  *
  * @public
  */
--- a/packages/local_deployment/mod.ts
+++ b/packages/local_deployment/mod.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment as processes on one machine, for the demo, the tests of
- * failures and the measurements.
+ * Runs a deployment as processes on one machine, for the demo, the fault tests
+ * and the benchmarks.
  *
  * @module
  */
--- a/packages/local_deployment/plan_addresses.ts
+++ b/packages/local_deployment/plan_addresses.ts
@@ -5,13 +5,12 @@
   readonly name: string;
   readonly zone: string;
   readonly peerAddress: string;
-  /** Address that peers use: the relay's where there is one. */
+  /** Address that peers connect to: the relay if there is one. */
   readonly advertisedAddress: string;
   /** Operator or caller address. */
   readonly serviceAddress: string;
 };
 
-/** A planned upstream. */
 type PlannedUpstream = {
   readonly name: string;
   readonly zone: string;
@@ -27,12 +26,12 @@
 };
 
 const ZONES = ["zone-a", "zone-b", "zone-c", "zone-d"] as const;
-/** Each control replica and entry has a loopback address of its own. */
-const CONTROL_HOSTS = "127.0.1.";
-const ENTRY_HOSTS = "127.0.2.";
-const CONTROL_RELAYS = "127.0.3.";
-const ENTRY_RELAYS = "127.0.4.";
-const UPSTREAM_PORTS = 100;
+/** Prefixes of loopback addresses; each process has its own address. */
+const CONTROL_HOST_PREFIX = "127.0.1.";
+const ENTRY_HOST_PREFIX = "127.0.2.";
+const CONTROL_RELAY_PREFIX = "127.0.3.";
+const ENTRY_RELAY_PREFIX = "127.0.4.";
+const UPSTREAM_PORT_OFFSET = 100;
 
 /** Plans the addresses of a local deployment. @internal */
 export function planAddresses(plan: DeploymentPlan): AddressPlan {
@@ -41,29 +40,31 @@
       planPeer(plan, {
         name: `control-${number}`,
         number,
-        hostPrefix: CONTROL_HOSTS,
-        relayPrefix: CONTROL_RELAYS,
+        hostPrefix: CONTROL_HOST_PREFIX,
+        relayPrefix: CONTROL_RELAY_PREFIX,
       })
     ),
     entries: numbersUpTo(plan.entries).map((number) =>
       planPeer(plan, {
         name: `entry-${number}`,
         number,
-        hostPrefix: ENTRY_HOSTS,
-        relayPrefix: ENTRY_RELAYS,
+        hostPrefix: ENTRY_HOST_PREFIX,
+        relayPrefix: ENTRY_RELAY_PREFIX,
       })
     ),
     upstreams: [
       ...numbersUpTo(plan.engines).map((number) => ({
         name: `engine-${number}`,
         zone: zoneOf(number),
-        address: `127.0.0.1:${plan.firstPort + UPSTREAM_PORTS + number}`,
+        address: `127.0.0.1:${plan.firstPort + UPSTREAM_PORT_OFFSET + number}`,
         isEngine: true,
       })),
       ...numbersUpTo(plan.services).map((number) => ({
         name: `booking-${number}`,
         zone: zoneOf(number),
-        address: `127.0.0.1:${plan.firstPort + 2 * UPSTREAM_PORTS + number}`,
+        address: `127.0.0.1:${
+          plan.firstPort + 2 * UPSTREAM_PORT_OFFSET + number
+        }`,
         isEngine: false,
       })),
     ],
--- a/packages/local_deployment/process_group.ts
+++ b/packages/local_deployment/process_group.ts
@@ -2,7 +2,6 @@
 import { closeSync, openSync } from "node:fs";
 import { join } from "node:path";
 
-/** A started process. */
 type StartedProcess = {
   readonly name: string;
   readonly script: string;
@@ -32,18 +31,17 @@
     this.#processes.set(name, { name, script, child, exited });
   }
 
-  /** Starts a process of the group again. */
+  /** Starts a process of the group again with the same script. */
   restart(name: string, args: string[]): void {
     const { script } = this.#processes.get(name)!;
     this.start(name, { script, args });
   }
 
-  /** Sends a signal to one process. */
   signal(name: string, signal: NodeJS.Signals): void {
     this.#processes.get(name)!.child.kill(signal);
   }
 
-  /** Resolves with the exit code of a process once it has ended. */
+  /** Resolves with the exit code of a process; 1 if a signal ended it. */
   waitForExit(name: string): Promise<number> {
     return this.#processes.get(name)!.exited;
   }
@@ -52,7 +50,7 @@
     return this.#processes.get(name)!.child.pid!;
   }
 
-  /** Stops some processes gracefully and returns their exit codes. */
+  /** Shuts down some processes gracefully and returns their exit codes. */
   async stop(names: readonly string[]): Promise<number[]> {
     const codes: Promise<number>[] = [];
     for (const name of names) {
@@ -63,7 +61,7 @@
     return await Promise.all(codes);
   }
 
-  /** Ends all processes at once, as a last resort. */
+  /** Kills all processes without a graceful shutdown. */
   kill(): void {
     for (const { child } of this.#processes.values()) {
       if (child.exitCode === null) {
--- a/packages/local_deployment/process_scripts.ts
+++ b/packages/local_deployment/process_scripts.ts
@@ -1,4 +1,4 @@
-/** Paths of the scripts that a deployment's processes run. @public */
+/** Paths of the scripts that the processes of a deployment run. @public */
 export type ProcessScripts = {
   readonly daemon: string;
   readonly standIn: string;
--- a/packages/local_deployment/send_prompt.ts
+++ b/packages/local_deployment/send_prompt.ts
@@ -1,15 +1,15 @@
 import { request } from "undici";
 
-/** What a caller saw of one answer. */
+/** Response to one prompt. */
 type PromptResponse = {
   readonly text: string;
   readonly requestId: string;
   readonly upstream: string;
-  /** Milliseconds until the first piece of text. */
+  /** Milliseconds until the first chunk of text. */
   readonly timeToFirstToken: number;
 };
 
-/** Sends one prompt and prints the answer as it streams in. @public */
+/** Sends one prompt and prints the response as it streams in. @public */
 export async function sendPrompt(
   address: string,
   options: {
@@ -39,10 +39,10 @@
   let text = "";
   let timeToFirstToken = 0;
   for await (const chunk of response.body) {
-    for (const piece of readContent(String(chunk))) {
+    for (const content of readContent(String(chunk))) {
       timeToFirstToken ||= performance.now() - startedAt;
-      text += piece;
-      options.print?.(piece);
+      text += content;
+      options.print?.(content);
     }
   }
   const requestId = String(response.headers["heroncleat-request"]);
@@ -51,7 +51,7 @@
 }
 
 function readContent(chunk: string): string[] {
-  const pieces: string[] = [];
+  const contents: string[] = [];
   for (const line of chunk.split("\n")) {
     if (!line.startsWith("data: {")) {
       continue;
@@ -59,8 +59,8 @@
     const event = JSON.parse(line.slice("data: ".length));
     const content = event.choices?.[0]?.delta?.content;
     if (typeof content === "string") {
-      pieces.push(content);
+      contents.push(content);
     }
   }
-  return pieces;
+  return contents;
 }
--- a/packages/local_deployment/set_up_routing.ts
+++ b/packages/local_deployment/set_up_routing.ts
@@ -4,10 +4,10 @@
 import type { Deployment } from "./deployment.ts";
 import { waitFor } from "./wait_for.ts";
 
-const START_TIMEOUT = 20_000;
+const START_TIMEOUT_MS = 20_000;
 
-/** The first configuration: an old and a new place, and both for everyone. */
-const EDITS: readonly Edit[] = [
+/** Initial configuration: two groups, selected for every request. */
+const INITIAL_EDITS: readonly Edit[] = [
   {
     kind: "group_set",
     group: {
@@ -41,11 +41,11 @@
   const body = JSON.stringify({
     id: createToken(),
     expectedRevision: 0,
-    edits: EDITS,
+    edits: INITIAL_EDITS,
   });
   const address = deployment.controls[0]!.operatorAddress;
   await waitFor("The first configuration change", {
-    timeout: START_TIMEOUT,
+    timeout: START_TIMEOUT_MS,
     check: async () => {
       const url = `http://${address}/v1/operator/changes`;
       const reply = await request(url, { method: "POST", headers, body });
--- a/packages/local_deployment/start_deployment.ts
+++ b/packages/local_deployment/start_deployment.ts
@@ -5,11 +5,11 @@
 import { setUpRouting } from "./set_up_routing.ts";
 import { waitFor } from "./wait_for.ts";
 
-const START_TIMEOUT = 30_000;
+const START_TIMEOUT_MS = 30_000;
 
 /**
- * Starts all processes and waits until requests can be served. When that
- * fails, the processes are ended.
+ * Starts all processes and waits until requests can be served. If that fails,
+ * the processes are killed.
  *
  * @public
  */
@@ -43,27 +43,27 @@
   return group;
 }
 
-/** Each entry has its lease, knows the others and all upstreams. */
+/** Waits until each entry is healthy and knows its peers and configuration. */
 async function waitUntilServing(deployment: Deployment): Promise<void> {
   const address = deployment.controls[0]!.operatorAddress;
   const authorization = `Bearer ${deployment.operatorToken}`;
   for (const entry of deployment.entries) {
     await waitFor(`The start of ${entry.name}`, {
-      timeout: START_TIMEOUT,
+      timeout: START_TIMEOUT_MS,
       check: async () => {
         const base = `http://${entry.callerAddress}`;
         const health = await request(`${base}/v1/health`);
         await health.body.dump();
         const listed = await request(`${base}/v1/entries`);
         const { entries } = await listed.body.json() as { entries: unknown[] };
-        const most = Math.min(deployment.entries.length, 12);
-        return health.statusCode === 200 && entries.length === most ||
+        const expectedCount = Math.min(deployment.entries.length, 12);
+        return health.statusCode === 200 && entries.length === expectedCount ||
           undefined;
       },
     });
   }
   await waitFor("All upstreams, and the configuration at all entries", {
-    timeout: START_TIMEOUT,
+    timeout: START_TIMEOUT_MS,
     check: async () => {
       const reply = await request(`http://${address}/v1/operator/status`, {
         headers: { authorization },
--- a/packages/local_deployment/stream_chat_completion.ts
+++ b/packages/local_deployment/stream_chat_completion.ts
@@ -2,20 +2,19 @@
 import { type Dispatcher, request } from "undici";
 import type { StreamedChatCompletion } from "./streamed_chat_completion.ts";
 
-/** What a caller sends, and where to. */
 type StreamOptions = {
   /** Caller addresses; the next one is used when a connection breaks. */
   readonly entries: readonly string[];
   readonly key: string;
   readonly body: Readonly<Record<string, unknown>>;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Milliseconds for the whole answer. */
+  /** Milliseconds for the complete response. */
   readonly timeout?: number;
-  /** Told once the request is accepted, before its first piece. */
+  /** Called once the request is accepted, before its first chunk. */
   readonly onAccepted?: () => void;
 };
 
-/** Progress of one answer over all its connections. */
+/** State of one response across all its connections. */
 type Progress = {
   requestId: string;
   text: string;
@@ -28,12 +27,12 @@
   readonly gaps: number[];
 };
 
-const DEFAULT_TIMEOUT = 60_000;
-const RECONNECT_PAUSE = 100;
+const DEFAULT_TIMEOUT_MS = 60_000;
+const RECONNECT_DELAY_MS = 100;
 
 /**
- * Sends a streamed chat request and reads its answer to the end. When the
- * connection breaks, it asks the next entry for the rest by `Last-Event-ID`.
+ * Sends a streaming chat request and reads the response to the end. If the
+ * connection breaks, it resumes from the next entry with `Last-Event-ID`.
  *
  * @public
  */
@@ -51,7 +50,7 @@
     startedAt: performance.now(),
     gaps: [],
   };
-  const until = performance.now() + (options.timeout ?? DEFAULT_TIMEOUT);
+  const until = performance.now() + (options.timeout ?? DEFAULT_TIMEOUT_MS);
   const first = await open(options).catch(() => undefined);
   if (first !== undefined && first.statusCode !== 200) {
     const refusal = await first.body.text();
@@ -69,7 +68,7 @@
     performance.now() < until
   ) {
     reconnects += 1;
-    await new Promise((resolve) => setTimeout(resolve, RECONNECT_PAUSE));
+    await new Promise((resolve) => setTimeout(resolve, RECONNECT_DELAY_MS));
     await reconnect(options, progress, reconnects).catch(() => undefined);
   }
   const status = first?.statusCode ?? 0;
@@ -93,7 +92,7 @@
 async function reconnect(
   options: StreamOptions,
   progress: Progress,
-  turn: number,
+  connectionIndex: number,
 ): Promise<void> {
   const id = encodeURIComponent(progress.requestId);
   const headers: Record<string, string> = {
@@ -103,7 +102,7 @@
     headers["last-event-id"] = String(progress.nextId - 1);
   }
   const response = await request(
-    `http://${entryAt(options, turn)}/v1/requests/${id}`,
+    `http://${entryAt(options, connectionIndex)}/v1/requests/${id}`,
     { headers, headersTimeout: 10_000, bodyTimeout: 10_000 },
   );
   if (response.statusCode !== 200) {
@@ -113,8 +112,8 @@
   await read(response, progress);
 }
 
-function entryAt(options: StreamOptions, turn: number): string {
-  return options.entries[turn % options.entries.length]!;
+function entryAt(options: StreamOptions, connectionIndex: number): string {
+  return options.entries[connectionIndex % options.entries.length]!;
 }
 
 async function read(
@@ -147,21 +146,21 @@
 
 function recordChunk(
   progress: Progress,
-  piece: { id: number; text: string },
+  chunk: { id: number; text: string },
 ): void {
   const now = performance.now();
-  if (piece.id !== progress.nextId) {
+  if (chunk.id !== progress.nextId) {
     progress.misplaced += 1;
     return;
   }
-  if (piece.id === 0) {
+  if (chunk.id === 0) {
     progress.timeToFirstToken = now - progress.startedAt;
   } else {
     progress.gaps.push(now - progress.lastChunkAt);
   }
   progress.lastChunkAt = now;
   progress.nextId += 1;
-  progress.text += piece.text;
+  progress.text += chunk.text;
 }
 
 function report(
--- a/packages/local_deployment/streamed_chat_completion.ts
+++ b/packages/local_deployment/streamed_chat_completion.ts
@@ -1,20 +1,20 @@
-/** What a caller that reconnects has got of one answer. @public */
+/** A streamed response as received by a caller that reconnects. @public */
 export type StreamedChatCompletion = {
-  /** HTTP status of the first answer. */
+  /** HTTP status of the first response; 0 if there was none. */
   readonly status: number;
-  /** Whether a refusal said that the request was not run. */
+  /** Value of `heroncleat-run` in a refusal; empty for others. */
   readonly run: string;
   /** Body of a refusal; empty for others. */
   readonly refusal: string;
   readonly requestId: string;
   readonly text: string;
   readonly pieces: number;
-  /** Pieces that came a second time or out of order. */
+  /** Chunks that were received twice or out of order. */
   readonly misplaced: number;
   readonly finishReason: string;
   readonly reconnects: number;
-  /** Milliseconds from sending to the first piece. */
+  /** Milliseconds from the request to the first chunk. */
   readonly timeToFirstToken: number;
-  /** Milliseconds between pieces. */
+  /** Milliseconds between chunks. */
   readonly gaps: readonly number[];
 };
--- a/packages/local_deployment/tcp_relay.ts
+++ b/packages/local_deployment/tcp_relay.ts
@@ -9,7 +9,7 @@
 };
 
 /**
- * Passes connections on to one process, and can cut those of some sources:
+ * Forwards connections to one process and can partition it from some sources;
  * each process connects from a loopback address of its own.
  *
  * @public
@@ -21,9 +21,9 @@
   readonly #listenAddress: string;
   readonly #targetAddress: string;
 
-  constructor(listenOn: string, target: string) {
-    this.#listenAddress = listenOn;
-    this.#targetAddress = target;
+  constructor(listenAddress: string, targetAddress: string) {
+    this.#listenAddress = listenAddress;
+    this.#targetAddress = targetAddress;
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
@@ -36,34 +36,34 @@
   }
 
   /**
-   * Stops passing bytes from one host, both ways and without a sign, as a
-   * network partition does.
+   * Stops forwarding bytes from and to one host without closing connections,
+   * as a network partition does.
    */
   partition(source: string): void {
     this.#partitionedSources.add(source);
-    for (const link of this.#connections) {
-      if (link.source === source) {
-        link.inbound.pause();
-        link.outbound.pause();
+    for (const connection of this.#connections) {
+      if (connection.source === source) {
+        connection.inbound.pause();
+        connection.outbound.pause();
       }
     }
   }
 
-  /** Passes bytes again; connections that were cut are closed. */
+  /** Forwards bytes again and closes the partitioned connections. */
   heal(): void {
-    for (const link of this.#connections) {
-      if (this.#partitionedSources.has(link.source)) {
-        link.inbound.destroy();
-        link.outbound.destroy();
+    for (const connection of this.#connections) {
+      if (this.#partitionedSources.has(connection.source)) {
+        connection.inbound.destroy();
+        connection.outbound.destroy();
       }
     }
     this.#partitionedSources.clear();
   }
 
   close(): void {
-    for (const link of this.#connections) {
-      link.inbound.destroy();
-      link.outbound.destroy();
+    for (const connection of this.#connections) {
+      connection.inbound.destroy();
+      connection.outbound.destroy();
     }
     this.#server.close();
   }
@@ -72,17 +72,17 @@
     const source = inbound.remoteAddress ?? "";
     const { host, port } = splitAddress(this.#targetAddress);
     const outbound = connect({ host, port });
-    const link = { source, inbound, outbound };
-    this.#connections.add(link);
-    const end = () => {
-      this.#connections.delete(link);
+    const connection = { source, inbound, outbound };
+    this.#connections.add(connection);
+    const close = () => {
+      this.#connections.delete(connection);
       inbound.destroy();
       outbound.destroy();
     };
     for (const socket of [inbound, outbound]) {
       socket.setNoDelay(true);
-      socket.on("error", end);
-      socket.on("close", end);
+      socket.on("error", close);
+      socket.on("close", close);
     }
     inbound.on("data", (bytes) => outbound.write(bytes));
     outbound.on("data", (bytes) => inbound.write(bytes));
--- a/packages/local_deployment/wait_for.ts
+++ b/packages/local_deployment/wait_for.ts
@@ -1,8 +1,13 @@
-const PAUSE = 50;
+const POLL_INTERVAL_MS = 50;
 
-/** Waits until a check succeeds; what it throws counts as not yet. @public */
+/**
+ * Polls a check until it returns a value; a rejected check is retried.
+ *
+ * @throws Error when the timeout has passed.
+ * @public
+ */
 export async function waitFor<Value>(
-  what: string,
+  description: string,
   options: { timeout: number; check: () => Promise<Value | undefined> },
 ): Promise<Value> {
   const until = Date.now() + options.timeout;
@@ -11,7 +16,7 @@
     if (value !== undefined) {
       return value;
     }
-    await new Promise((resolve) => setTimeout(resolve, PAUSE));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
-  throw new Error(`${what} took longer than ${options.timeout} ms`);
+  throw new Error(`${description} took longer than ${options.timeout} ms`);
 }
--- a/packages/local_deployment/write_deployment.ts
+++ b/packages/local_deployment/write_deployment.ts
@@ -6,16 +6,16 @@
 import type { DeploymentPlan } from "./deployment_plan.ts";
 import { planAddresses } from "./plan_addresses.ts";
 
-const PRIVATE = 0o600;
-const SEEDS = 3;
-const ANNOUNCE_ENTRIES = 4;
+const PRIVATE_FILE_MODE = 0o600;
+const SEED_COUNT = 3;
+const ANNOUNCE_ENTRY_COUNT = 4;
 
 /** Sections of an INI file. */
 type Sections = Readonly<
   Record<string, Readonly<Record<string, string | number>>>
 >;
 
-/** Writes the settings, keys and secrets of a deployment. @public */
+/** Writes the settings, keys and secrets of a deployment to files. @public */
 export function writeDeployment(plan: DeploymentPlan): Deployment {
   mkdirSync(plan.folder, { recursive: true });
   const addresses = planAddresses(plan);
@@ -26,7 +26,7 @@
     workspaces.map((workspace) => [workspace, createToken()]),
   );
   const write = (name: string, text: string) => {
-    writeFileSync(join(plan.folder, name), text, { mode: PRIVATE });
+    writeFileSync(join(plan.folder, name), text, { mode: PRIVATE_FILE_MODE });
     return join(plan.folder, name);
   };
   const security = {
@@ -79,7 +79,7 @@
         daemon: describe("entry", peer),
         entry: {
           caller_address: peer.serviceAddress,
-          seeds: entryPeers.slice(0, SEEDS).join(", "),
+          seeds: entryPeers.slice(0, SEED_COUNT).join(", "),
           control: replicas,
           ...plan.entrySettings,
         },
@@ -96,16 +96,16 @@
       advertisedAddress: peer.advertisedAddress,
     };
   });
-  const upstreams = addresses.upstreams.map((upstream, place) => {
+  const upstreams = addresses.upstreams.map((upstream, index) => {
     const base = describeUpstream(plan, {
       upstream,
-      place,
+      index,
       sharedSecret,
-      entries: entries.slice(0, ANNOUNCE_ENTRIES).map((entry) =>
+      entries: entries.slice(0, ANNOUNCE_ENTRY_COUNT).map((entry) =>
         entry.callerAddress
       ),
     });
-    const settings = plan.upstream?.(base, place) ?? base;
+    const settings = plan.upstream?.(base, index) ?? base;
     const settingsFile = write(
       `${upstream.name}.json`,
       JSON.stringify(settings, null, 2),
@@ -134,13 +134,13 @@
       address: string;
       isEngine: boolean;
     };
-    place: number;
+    index: number;
     sharedSecret: string;
     entries: readonly string[];
   },
 ): StandInSettings {
-  const { upstream, place, sharedSecret, entries } = options;
-  const onDemand = place === 0;
+  const { upstream, index, sharedSecret, entries } = options;
+  const onDemand = index === 0;
   return {
     name: upstream.name,
     address: upstream.address,
@@ -150,8 +150,8 @@
     zone: upstream.zone,
     vmClass: onDemand ? "on_demand" : "reclaimable",
     price: onDemand ? 3 : 1,
-    labels: { place: place % 2 === 0 ? "new" : "old" },
-    checksFencing: place % 2 === 0,
+    labels: { place: index % 2 === 0 ? "new" : "old" },
+    checksFencing: index % 2 === 0,
     entries,
     sharedSecret,
     announceInterval: 500,
--- a/packages/soak/soak_caller.ts
+++ b/packages/soak/soak_caller.ts
@@ -6,20 +6,20 @@
 import type { SoakDocument } from "./soak_document.ts";
 import type { ProgramAdapter } from "./program_adapter.ts";
 
-const TIMEOUT: Milliseconds = 3000;
-/** Pause between two requests of a caller: from this on, and so much more. */
-const PAUSE = { min: 100, spread: 300 };
+const REQUEST_TIMEOUT: Milliseconds = 3000;
+/** Pause between two requests of a caller. */
+const REQUEST_PAUSE_MS = { min: 100, spread: 300 };
 /** Requests on one connection before a caller opens a new one. */
-const MOST_REUSES = 30;
-/** Age of a list of entries at which a caller asks again. */
-const LIST_AGE: Milliseconds = 2000;
+const MAX_REUSES = 30;
+/** Age at which a caller refreshes its list of entries. */
+const MAX_LIST_AGE: Milliseconds = 2000;
 
-/** What one request came to. */
+/** Outcome of one request. */
 export type RequestOutcome = {
   readonly attempt: string;
   readonly isNonIdempotent: boolean;
   readonly status: number;
-  /** Why what came can't be the answer to this request. */
+  /** Why the response can't belong to this request; undefined if it can. */
   readonly problem: string | undefined;
 };
 
@@ -28,15 +28,15 @@
   readonly zone: string;
   readonly adapter: ProgramAdapter;
   readonly document: () => SoakDocument;
-  /** Addresses of VMs to ask which entries there are. */
+  /** Addresses at which entries can be looked up. */
   readonly listLookups: () => readonly string[];
   readonly random: () => number;
   readonly onOutcome: (outcome: RequestOutcome) => void;
 };
 
 /**
- * A caller that asks one request after the other and keeps its connection open
- * until the process at its other end is gone.
+ * A caller that sends one request at a time and reuses its connection until it
+ * breaks, its entry is no longer listed, or the reuse limit is reached.
  */
 export class SoakCaller {
   readonly #options: CallerOptions;
@@ -46,21 +46,21 @@
   #reuses = 0;
   #entries: readonly string[] = [];
   #listedAt: Milliseconds = -Infinity;
-  #count = 0;
+  #requestCount = 0;
 
   constructor(options: CallerOptions) {
     this.#options = options;
   }
 
-  /** Asks until it is stopped. */
+  /** Sends requests until it is stopped. */
   async run(): Promise<void> {
     const { random } = this.#options;
     while (!this.#isStopped) {
-      await this.#renewList();
+      await this.#refreshEntries();
       if (this.#connect()) {
-        await this.#ask();
+        await this.#sendRequest();
       }
-      await pause(PAUSE.min + random() * PAUSE.spread);
+      await pause(REQUEST_PAUSE_MS.min + random() * REQUEST_PAUSE_MS.spread);
     }
     this.#agent?.destroy();
   }
@@ -69,9 +69,9 @@
     this.#isStopped = true;
   }
 
-  async #renewList(): Promise<void> {
+  async #refreshEntries(): Promise<void> {
     const { listLookups, random, adapter, zone, document } = this.#options;
-    if (performance.now() - this.#listedAt < LIST_AGE) {
+    if (performance.now() - this.#listedAt < MAX_LIST_AGE) {
       return;
     }
     const lookups = listLookups();
@@ -93,10 +93,10 @@
     }
   }
 
-  /** @returns Whether there is an entry to ask. */
+  /** @returns Whether an entry is known. */
   #connect(): boolean {
     this.#reuses += 1;
-    if (this.#agent !== undefined && this.#reuses <= MOST_REUSES) {
+    if (this.#agent !== undefined && this.#reuses <= MAX_REUSES) {
       return true;
     }
     this.#disconnect();
@@ -115,12 +115,12 @@
     this.#agent = undefined;
   }
 
-  async #ask(): Promise<void> {
+  async #sendRequest(): Promise<void> {
     const { name, adapter, document, random, onOutcome } = this.#options;
     const { host, idempotentPrefix, nonIdempotentPrefix } = document();
     const isNonIdempotent = random() < 0.5;
-    this.#count += 1;
-    const attempt = `${name}-${this.#count}`;
+    this.#requestCount += 1;
+    const attempt = `${name}-${this.#requestCount}`;
     const reply = await sendHttpRequest(this.#entry, {
       method: isNonIdempotent ? "POST" : "GET",
       path: `${
@@ -130,9 +130,9 @@
       headers: {
         host,
         [adapter.headers.attempt]: attempt,
-        [adapter.headers.timeLeft]: String(TIMEOUT),
+        [adapter.headers.timeLeft]: String(REQUEST_TIMEOUT),
       },
-      timeout: TIMEOUT,
+      timeout: REQUEST_TIMEOUT,
       agent: this.#agent!,
     });
     const { status } = reply;
@@ -154,6 +154,6 @@
     const upstream = digest.replace("by-", "");
     return reply.body === responseBody(attempt, upstream)
       ? undefined
-      : `${attempt} was answered "${reply.body}" signed ${digest}`;
+      : `${attempt} got the response "${reply.body}" with the digest ${digest}`;
   }
 }
--- a/packages/soak/soak_deployment.ts
+++ b/packages/soak/soak_deployment.ts
@@ -11,40 +11,39 @@
 import type { SoakDocument } from "./soak_document.ts";
 import type { ProgramAdapter } from "./program_adapter.ts";
 
-/** Time that VMs must have been calm to be bound by a time. */
-const CALM_TIME: Milliseconds = 3000;
-/** Time for which an upstream serves after its leave was acknowledged. */
+/** Time without faults after which time bounds are checked for a VM. */
+const UNDISTURBED_TIME: Milliseconds = 3000;
+/** Time for which an upstream may be used after an acknowledged departure. */
 const DRAIN_TIME: Milliseconds = 2000;
-/** Age of what callers, operators and upstreams know of the VMs. */
-const LIST_LAG: Milliseconds = 1500;
+/** Delay until callers, operators and upstreams see a change of the VMs. */
+const DISCOVERY_LAG: Milliseconds = 1500;
 const MACHINES_PER_ZONE = 3;
-/** The first one has a disk. */
+/** The first one runs a replica, the others are proxies. */
 const CONTROLS_PER_ZONE = 2;
 const UPSTREAMS_PER_ZONE = 2;
 const CALLERS_PER_ZONE = 8;
 const FIRST_PROXY_PORT = 7900;
 const START_TIMEOUT: Milliseconds = 20_000;
-/** Disturbances of the control group as a whole. */
-const CORE = "core";
+/** Key for faults of the control replica group as a whole. */
+const CONTROL_GROUP = "core";
 
-/** What the deployment is built from. */
 type Options = {
   readonly adapter: ProgramAdapter;
   readonly folder: string;
   readonly random: Random;
-  /** Number of the soak among those that run at once; chooses addresses. */
+  /** Index among concurrent soaks; determines the addresses. */
   readonly slot: number;
 };
 
 /**
- * A whole deployment of real processes with its upstreams and callers, and
- * the means to disturb it.
+ * A deployment of real processes with its upstreams and callers, and the means
+ * to inject faults into it.
  */
 export class SoakDeployment {
   readonly zones = ["a", "b", "c", "d"];
   readonly machines: Machine[] = [];
   readonly proxy: LinkProxy;
-  readonly disturbances = new DisturbanceLog(CALM_TIME);
+  readonly disturbances = new DisturbanceLog(UNDISTURBED_TIME);
   readonly checks: GuaranteeChecks;
   readonly crashing: CrashingRequests;
   readonly random: Random;
@@ -53,7 +52,7 @@
   readonly #upstreams = new Set<SoakUpstream>();
   readonly #callers: SoakCaller[] = [];
   readonly #proxyAddress: string;
-  /** Whether all that it begins with has started. */
+  /** Whether the initial VMs and upstreams have started. */
   #isRunning = false;
   #document: SoakDocument;
   #acknowledgedVersion = 0;
@@ -83,16 +82,16 @@
     this.checks = new GuaranteeChecks({
       drainTime: DRAIN_TIME,
       wasReplicaUndisturbed: (address, at) =>
-        this.disturbances.wasUndisturbed(CORE, at) &&
+        this.disturbances.wasUndisturbed(CONTROL_GROUP, at) &&
         this.disturbances.wasUndisturbed(address.split(":")[0]!, at),
       wasEntryUndisturbed: (host, at) =>
-        this.disturbances.wasUndisturbed(CORE, at) &&
+        this.disturbances.wasUndisturbed(CONTROL_GROUP, at) &&
         this.disturbances.wasUndisturbed(host, at),
       describe: (host, at) => this.#describe(host, at),
     });
   }
 
-  /** Starts everything and waits until callers are served. */
+  /** Starts all processes and waits until requests are served. */
   async start(): Promise<void> {
     await this.proxy.listen();
     for (const zone of this.zones) {
@@ -113,7 +112,7 @@
         await this.addUpstream(zone);
       }
     }
-    await this.#waitFor("The first answer", () => this.#isServed());
+    await this.#waitFor("The first response", () => this.#areRequestsServed());
     this.#isRunning = true;
     for (const zone of this.zones) {
       for (let count = 0; count < CALLERS_PER_ZONE; count += 1) {
@@ -140,7 +139,7 @@
     this.proxy.close();
   }
 
-  /** Operators' addresses of three control processes, as a new file has them. */
+  /** Operator addresses of three random control processes, as seeds. */
   seeds(): string[] {
     return this.activeMachines()
       .filter(({ hasControlProcess }) => hasControlProcess)
@@ -150,19 +149,19 @@
       .map(({ machine }) => machine.operatorAddress);
   }
 
-  /** VMs with a control replica. */
+  /** VMs that run a control replica. */
   replicaMachines(): Machine[] {
     return this.machines.filter((
       { hasReplica, isRemoved },
     ) => hasReplica && !isRemoved);
   }
 
-  /** VMs that run, with a control replica or without. */
+  /** VMs that haven't been removed, with a control replica or without. */
   activeMachines(): Machine[] {
     return this.machines.filter(({ isRemoved }) => !isRemoved);
   }
 
-  /** Adds a VM that isn't started yet. */
+  /** Adds a VM without starting it. */
   addMachine(
     zone: string,
     options: { hasControlProcess: boolean; hasReplica: boolean },
@@ -174,19 +173,19 @@
       name: `edge-${zone}-${number}`,
       zone,
       host: `127.${30 + this.#options.slot}.${at}.${number}`,
-      discoverableFrom: this.#isRunning ? performance.now() + LIST_LAG : 0,
+      discoverableFrom: this.#isRunning ? performance.now() + DISCOVERY_LAG : 0,
       ...options,
     }, { ...this.#options, proxyAddress: this.#proxyAddress });
     this.machines.push(machine);
     return machine;
   }
 
-  /** Starts what doesn't run of a VM, with the seeds of now. */
+  /** Starts the processes of a VM that aren't running, with current seeds. */
   startMachine(machine: Machine): void {
     machine.start({ seeds: this.seeds(), isFirstStart: false });
   }
 
-  /** Starts an upstream. */
+  /** Adds an upstream and starts it. */
   async addUpstream(zone: string): Promise<SoakUpstream> {
     this.#upstreamCount += 1;
     const count = this.#upstreamCount;
@@ -211,7 +210,7 @@
     return upstream;
   }
 
-  /** An upstream of a zone that is ready, or of any zone. */
+  /** Picks a random ready upstream of a zone, or of any zone. */
   pickUpstream(zone?: string): SoakUpstream | undefined {
     const ready = [...this.#upstreams].filter((upstream) =>
       upstream.isReady && (zone === undefined || upstream.zone === zone)
@@ -223,7 +222,11 @@
     this.#upstreams.delete(upstream);
   }
 
-  /** Puts another version in force; true once it was acknowledged. */
+  /**
+   * Publishes the next version of the configuration document.
+   *
+   * @returns Whether a replica acknowledged it.
+   */
   async publish(): Promise<boolean> {
     const { adapter } = this.#options;
     this.#document = {
@@ -248,7 +251,7 @@
     return false;
   }
 
-  /** Reads the configuration back and checks that nothing was lost. */
+  /** Checks that the last acknowledged configuration document survived. */
   async checkDocument(): Promise<void> {
     const { adapter } = this.#options;
     const until = performance.now() + START_TIMEOUT;
@@ -273,20 +276,23 @@
       }
       await pause(200);
     }
-    this.checks.report("configuration", "No replica answers with one");
+    this.checks.report(
+      "configuration",
+      "No replica returned a configuration document",
+    );
   }
 
-  /** Begins a disturbance of the group; call what it returns at its end. */
+  /** Records a fault of a control VM; the returned function ends it. */
   beginControlDisturbance(host: string): () => void {
     const at = performance.now();
     const ends = [
-      this.disturbances.begin(CORE, at),
+      this.disturbances.begin(CONTROL_GROUP, at),
       this.disturbances.begin(host, at),
     ];
     return () => ends.forEach((end) => end());
   }
 
-  /** Begins a disturbance of one VM. */
+  /** Records a fault of one VM; the returned function ends it. */
   beginDisturbance(host: string): () => void {
     return this.disturbances.begin(host, performance.now());
   }
@@ -309,7 +315,7 @@
     void caller.run();
   }
 
-  /** Control processes as others know them, late, in an order drawn anew. */
+  /** Operator addresses as others discover them, delayed and shuffled. */
   #listReplicas(): string[] {
     const now = performance.now();
     return this.machines
@@ -321,7 +327,7 @@
         },
       ) =>
         hasControlProcess && discoverableFrom <= now &&
-        now < removedAt + LIST_LAG
+        now < removedAt + DISCOVERY_LAG
       )
       .map((machine) => ({ machine, order: this.random() }))
       .sort((left, right) => left.order - right.order)
@@ -330,14 +336,14 @@
 
   #listLookups(zone: string): string[] {
     const activeMachines = this.activeMachines();
-    const near = activeMachines.filter((machine) => machine.zone === zone);
-    const listed = this.random() < 0.7 && near.length > 0
-      ? near
+    const sameZone = activeMachines.filter((machine) => machine.zone === zone);
+    const listed = this.random() < 0.7 && sameZone.length > 0
+      ? sameZone
       : activeMachines;
     return listed.map(({ lookupAddress }) => lookupAddress);
   }
 
-  async #isServed(): Promise<boolean> {
+  async #areRequestsServed(): Promise<boolean> {
     const { adapter } = this.#options;
     for (const machine of this.activeMachines()) {
       const reply = await sendHttpRequest(machine.callerAddress, {
@@ -375,10 +381,10 @@
     if (machine === undefined) {
       return host;
     }
-    const ran = Math.round(at - machine.startedAt);
+    const uptime = Math.round(at - machine.startedAt);
     const undisturbedTime = Math.round(
       this.disturbances.undisturbedTime(host, at),
     );
-    return `${machine.name}, entry up for ${ran} ms, calm for ${undisturbedTime} ms`;
+    return `${machine.name}, entry up for ${uptime} ms, undisturbed for ${undisturbedTime} ms`;
   }
 }
--- a/packages/soak/soak_upstream.ts
+++ b/packages/soak/soak_upstream.ts
@@ -11,32 +11,31 @@
 import type { ProgramAdapter } from "./program_adapter.ts";
 
 const HEARTBEAT_INTERVAL: Milliseconds = 1200;
-/** Time within which an acknowledgement counts. */
 const ACK_TIMEOUT: Milliseconds = 1000;
-/** Tries to tell that it leaves before an upstream goes all the same. */
-const LEAVE_TRIES = 12;
-const LEAVE_PAUSE: Milliseconds = 100;
+/** Attempts to report a departure before an upstream gives up. */
+const MAX_DEPARTURE_ATTEMPTS = 12;
+const DEPARTURE_RETRY_DELAY: Milliseconds = 100;
 const SLOTS = 6;
 const PORT = 9000;
-/** Time for which one that crashed is down, in ms. */
-const DOWNTIME = { min: 1500, spread: 2500 };
-/** Time from the start of a run to the crash under it, in ms. */
-const CRASHES_AFTER = { min: 10, spread: 100 };
-/** Time that a request takes, in ms: from this on, and so much more. */
-const WORK = { min: 10, spread: 60 };
+/** Time from a crash to the restart. */
+const DOWNTIME_MS = { min: 1500, spread: 2500 };
+/** Time from the start of a crashing request to the crash. */
+const CRASH_DELAY_MS = { min: 10, spread: 100 };
+/** Service time of a request. */
+const SERVICE_TIME_MS = { min: 10, spread: 60 };
 
-/** How an upstream says that it leaves. */
+/** How an upstream reports its departure. */
 type DepartureMode =
-  /** Heartbeats that say so, and a departure once it ends. */
+  /** Sends draining heartbeats, and a departure notice when it shuts down. */
   | "drains"
-  /** A departure at once, and nothing more. */
+  /** Sends a departure notice at once and no further heartbeats. */
   | "departs";
 
-/** That a replica acknowledged that an upstream leaves. */
+/** An upstream departure that a replica has acknowledged. */
 export type AcknowledgedDeparture = {
   readonly upstream: string;
   readonly at: Milliseconds;
-  /** Operators' address of the replica. */
+  /** Operator address of the replica. */
   readonly by: string;
   readonly mode: DepartureMode;
 };
@@ -48,18 +47,18 @@
   readonly host: string;
   readonly adapter: ProgramAdapter;
   readonly random: () => number;
-  /** Operators' addresses that it may report to, best first. */
+  /** Operator addresses that it may report to, in order of preference. */
   readonly listReplicas: () => readonly string[];
   readonly onArrival: (arrival: ReceivedRequest) => void;
   readonly onRun: (arrival: ReceivedRequest) => void;
   readonly isNonIdempotent: (path: string) => boolean;
-  /** Whether a request ends each upstream that runs it. */
+  /** Whether a request crashes each upstream that runs it. */
   readonly crashes: (path: string) => boolean;
-  /** Called when this has ended under such a request. */
+  /** Called when such a request has crashed this upstream. */
   readonly onCrash: (path: string) => void;
 };
 
-/** A plain service that reports itself, serves and leaves. */
+/** A plain service that sends heartbeats, serves requests and departs. */
 export class SoakUpstream {
   readonly name: string;
   readonly zone: string;
@@ -84,14 +83,14 @@
     this.#server.keepAliveTimeout = 5000;
   }
 
-  /** Ends at once with all its connections, and runs again after a time. */
+  /** Closes all its connections at once, and restarts after a delay. */
   async crash(): Promise<void> {
     await this.shutDown("crashes");
     const { random } = this.#options;
     await new Promise((resolve) => {
-      setTimeout(resolve, DOWNTIME.min + random() * DOWNTIME.spread);
+      setTimeout(resolve, DOWNTIME_MS.min + random() * DOWNTIME_MS.spread);
     });
-    // One that was to leave meanwhile doesn't come back.
+    // An upstream that began to depart meanwhile doesn't restart.
     if (this.#state === "ready") {
       this.#born = Date.now();
       this.#sequence = 0;
@@ -120,7 +119,7 @@
   }
 
   /**
-   * Says that it leaves, to one replica after the other until one acknowledges
+   * Reports its departure to one replica after the other until one acknowledges
    * it.
    */
   async depart(
@@ -130,18 +129,20 @@
     if (mode === "departs") {
       clearInterval(this.#timer);
     }
-    for (let tried = 0; tried < LEAVE_TRIES; tried += 1) {
+    for (let attempts = 0; attempts < MAX_DEPARTURE_ATTEMPTS; attempts += 1) {
       const replicas = this.#options.listReplicas();
-      const by = replicas[tried % Math.max(1, replicas.length)];
+      const by = replicas[attempts % Math.max(1, replicas.length)];
       if (by !== undefined && await this.#notify(by, mode)) {
         return { upstream: this.name, at: performance.now(), by, mode };
       }
-      await new Promise((resolve) => setTimeout(resolve, LEAVE_PAUSE));
+      await new Promise((resolve) =>
+        setTimeout(resolve, DEPARTURE_RETRY_DELAY)
+      );
     }
     return undefined;
   }
 
-  /** Ends; one that drained says so first. */
+  /** Shuts down, after a departure notice if it was draining. */
   async shutDown(mode: DepartureMode | "crashes"): Promise<void> {
     clearInterval(this.#timer);
     if (mode === "drains") {
@@ -158,12 +159,12 @@
     const { adapter } = this.#options;
     const call = mode === "departs"
       ? adapter.departure(this.name)
-      : adapter.heartbeat(this.#report());
+      : adapter.heartbeat(this.#buildReport());
     const reply = await sendHttpRequest(by, { ...call, timeout: ACK_TIMEOUT });
     return reply.status >= 200 && reply.status < 300;
   }
 
-  /** One replica hears it until a heartbeat fails there. */
+  /** Sends heartbeats to the same replica until one fails. */
   async #sendHeartbeat(): Promise<void> {
     const replicas = this.#options.listReplicas();
     const { random, adapter } = this.#options;
@@ -172,13 +173,13 @@
     if (by === undefined) {
       return;
     }
-    const call = adapter.heartbeat(this.#report());
+    const call = adapter.heartbeat(this.#buildReport());
     const reply = await sendHttpRequest(by, { ...call, timeout: ACK_TIMEOUT });
-    const isTaken = reply.status >= 200 && reply.status < 300;
-    this.#replica = isTaken ? by : undefined;
+    const isAccepted = reply.status >= 200 && reply.status < 300;
+    this.#replica = isAccepted ? by : undefined;
   }
 
-  #report() {
+  #buildReport() {
     this.#sequence += 1;
     return {
       name: this.name,
@@ -227,7 +228,7 @@
       await new Promise((resolve) => {
         setTimeout(
           resolve,
-          CRASHES_AFTER.min + random() * CRASHES_AFTER.spread,
+          CRASH_DELAY_MS.min + random() * CRASH_DELAY_MS.spread,
         );
       });
       if (this.#server.listening) {
@@ -238,7 +239,10 @@
     }
     this.#inFlight += 1;
     await new Promise((resolve) => {
-      setTimeout(resolve, WORK.min + random() * WORK.spread);
+      setTimeout(
+        resolve,
+        SERVICE_TIME_MS.min + random() * SERVICE_TIME_MS.spread,
+      );
     });
     this.#inFlight -= 1;
     response.writeHead(200, {
