--- a/apps/demo/main.ts
+++ b/apps/demo/main.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment on loopback: serves one prompt and stops, or stays up
- * with `--keep`.
+ * Runs a deployment on loopback addresses, serves one prompt and stops; with
+ * `--keep`, it stays up until interrupted.
  *
  * @module
  */
@@ -20,8 +20,8 @@
 import { request } from "undici";
 
 const FIRST_PORT = 7400;
-/** The deployment takes ports up to 300 above its first. */
-const MOST_FIRST_PORT = 65_000;
+/** Leaves room for the ports above the first one that the deployment uses. */
+const MAX_FIRST_PORT = 65_000;
 const PROMPT_FILE = new URL("../demo_prompt.txt", import.meta.url);
 const require = createRequire(import.meta.url);
 
@@ -31,9 +31,9 @@
 const firstPort = Number(values.port ?? FIRST_PORT);
 if (
   !(Number.isInteger(firstPort) && firstPort > 0) ||
-  firstPort > MOST_FIRST_PORT
+  firstPort > MAX_FIRST_PORT
 ) {
-  print(`--port is no port up to ${MOST_FIRST_PORT}. Remedy: give a number.\n`);
+  print(`--port must be from 1 to ${MAX_FIRST_PORT}. Remedy: give a number.\n`);
   process.exit(2);
 }
 const folder = mkdtempSync(join(tmpdir(), "heroncleat-"));
@@ -50,15 +50,15 @@
 async function run(): Promise<number> {
   let group: ProcessGroup | undefined;
   try {
-    await checkAddresses();
+    await checkAddressesAreFree();
     print("Starting 3 control replicas, 3 entries and 3 upstreams.\n");
     group = await startDeployment(deployment, {
-      daemon: mainOf("@heroncleat/heroncleatd"),
-      standIn: mainOf("@heroncleat/stand_ins"),
+      daemon: findMainScript("@heroncleat/heroncleatd"),
+      standIn: findMainScript("@heroncleat/stand_ins"),
     });
-    await showAnswer(deployment);
+    await servePrompt(deployment);
     if (values.keep) {
-      await keepUp(deployment);
+      await waitForInterrupt(deployment);
     }
     return await stop(group);
   } catch (error) {
@@ -68,26 +68,26 @@
   }
 }
 
-async function checkAddresses(): Promise<void> {
-  const taken = await findAddressInUse(deployment);
-  if (taken !== undefined) {
+async function checkAddressesAreFree(): Promise<void> {
+  const usedAddress = await findAddressInUse(deployment);
+  if (usedAddress !== undefined) {
     throw new Error(
-      `Something listens on ${taken} already. Remedy: end it, or give other ` +
+      `Something listens on ${usedAddress} already. Remedy: end it, or give other ` +
         "ports with `npm start -- --port 9400`",
     );
   }
 }
 
-function mainOf(name: string): string {
-  const found = dirname(require.resolve(`${name}/package.json`));
-  const main = join(found, "dist", "main.js");
+function findMainScript(name: string): string {
+  const packageFolder = dirname(require.resolve(`${name}/package.json`));
+  const main = join(packageFolder, "dist", "main.js");
   if (!existsSync(main)) {
     throw new Error(`${name} isn't built. Remedy: npm run build`);
   }
   return main;
 }
 
-async function showAnswer({ entries, callerKeys }: Deployment): Promise<void> {
+async function servePrompt({ entries, callerKeys }: Deployment): Promise<void> {
   const discovery = `http://${entries[0]!.callerAddress}/v1/entries`;
   const listed = await (await request(discovery)).body.json() as {
     entries: { address: string; zone: string }[];
@@ -97,20 +97,20 @@
   const prompt = readFileSync(PROMPT_FILE, "utf8");
   print(`Prompt: ${prompt}Answer:`);
   const key = callerKeys["bistro"]!;
-  const answer = await sendPrompt(entry.address, { key, prompt, print });
-  print(`\nRequest ${answer.requestId}\n`);
-  print(`Served by ${answer.upstream}, first token after `);
-  print(`${answer.timeToFirstToken.toFixed(1)} ms.\n`);
+  const response = await sendPrompt(entry.address, { key, prompt, print });
+  print(`\nRequest ${response.requestId}\n`);
+  print(`Served by ${response.upstream}, first token after `);
+  print(`${response.timeToFirstToken.toFixed(1)} ms.\n`);
 }
 
-async function keepUp(kept: Deployment): Promise<void> {
-  const control = kept.controls.map((replica) => replica.operatorAddress);
+async function waitForInterrupt(running: Deployment): Promise<void> {
+  const control = running.controls.map((replica) => replica.operatorAddress);
   print("\nStays up until it is interrupted (Ctrl-C).\n");
   print(`export HERONCLEAT_CONTROL=${control.join(",")}\n`);
-  print(`export HERONCLEAT_TOKEN_FILE=${kept.tokenFile}\n`);
-  print(`export KEY=${kept.callerKeys["bistro"]}\n`);
+  print(`export HERONCLEAT_TOKEN_FILE=${running.tokenFile}\n`);
+  print(`export KEY=${running.callerKeys["bistro"]}\n`);
   print("npx heroncleat status\n");
-  print(`curl -N http://${kept.entries[0]!.callerAddress}`);
+  print(`curl -N http://${running.entries[0]!.callerAddress}`);
   print('/v1/chat/completions -H "authorization: Bearer $KEY" ');
   print('-H "content-type: application/json" -d ');
   print(`'{"model":"assistant","stream":true,"messages":`);
@@ -121,7 +121,7 @@
   });
 }
 
-/** Entries first, then upstreams, then control; all must end with code 0. */
+/** Stops entries, upstreams and control replicas in this order. */
 async function stop(group: ProcessGroup): Promise<number> {
   const codes = [
     ...await group.stop(deployment.entries.map(({ name }) => name)),
--- a/packages/stand_ins/announcer.ts
+++ b/packages/stand_ins/announcer.ts
@@ -3,11 +3,11 @@
 import { request } from "undici";
 import type { StandInSettings } from "./stand_in_settings.ts";
 
-const REQUEST_TIMEOUT = 1000;
+const REQUEST_TIMEOUT_MS = 1000;
 
 /**
- * Announces an upstream to one entry after another, as upstreams do: there is
- * no list of them anywhere.
+ * Announces an upstream to an entry at regular intervals, and fails over to the
+ * next entry.
  *
  * @public
  */
@@ -42,17 +42,21 @@
     void this.announce();
   }
 
-  /** Announces that the VM will be taken. */
+  /** Announces that the VM will be reclaimed. */
   async announceReclaim(reclaimIn: Milliseconds): Promise<void> {
     this.#reclaimAt = Date.now() + reclaimIn;
     await this.announce();
   }
 
-  /** Tries the entries in turn until one takes the announcement. */
+  /** Tries the entries in turn until one accepts the announcement. */
   async announce(): Promise<void> {
     this.#sequence += 1;
     const body = JSON.stringify(this.#build());
-    for (let tried = 0; tried < this.#settings.entries.length; tried += 1) {
+    for (
+      let attempts = 0;
+      attempts < this.#settings.entries.length;
+      attempts += 1
+    ) {
       if (await this.#sendTo(this.#currentEntry(), body)) {
         return;
       }
@@ -74,8 +78,8 @@
           authorization: `Bearer ${this.#settings.sharedSecret}`,
         },
         body,
-        headersTimeout: REQUEST_TIMEOUT,
-        bodyTimeout: REQUEST_TIMEOUT,
+        headersTimeout: REQUEST_TIMEOUT_MS,
+        bodyTimeout: REQUEST_TIMEOUT_MS,
       });
       await response.body.dump();
       return response.statusCode === 200;
--- a/packages/stand_ins/count_tokens.ts
+++ b/packages/stand_ins/count_tokens.ts
@@ -1,4 +1,4 @@
-/** Tokens of a text as the stand-ins count them: words. @public */
+/** Counts the tokens of a text; for the stand-ins, a token is a word. @public */
 export function countTokens(text: string): number {
   const words = text.trim().split(/\s+/);
   return words[0] === "" ? 0 : words.length;
--- a/packages/stand_ins/crash_if_body_contains.ts
+++ b/packages/stand_ins/crash_if_body_contains.ts
@@ -1,14 +1,17 @@
-/** Time between a request that crashes the process and its end, in ms. */
-const CRASH_DELAY = 30;
+const CRASH_DELAY_MS = 30;
 
-/** Ends the process soon where a body holds a text, and says whether it does. */
+/**
+ * Crashes the process after a short delay if a body contains a text.
+ *
+ * @returns Whether the body contains the text.
+ */
 export function crashIfBodyContains(
   text: string | undefined,
   body: string,
 ): boolean {
   const containsText = text !== undefined && body.includes(text);
   if (containsText) {
-    setTimeout(() => process.exit(1), CRASH_DELAY);
+    setTimeout(() => process.exit(1), CRASH_DELAY_MS);
   }
   return containsText;
 }
--- a/packages/stand_ins/engine_counts.ts
+++ b/packages/stand_ins/engine_counts.ts
@@ -1,12 +1,12 @@
-/** What a stand-in engine has done, for tests and measurements. @public */
+/** Work counters of a stand-in engine. @public */
 export type EngineCounts = {
   /** Prompt tokens computed, cached ones excluded. */
   computed: number;
   /** Tokens generated. */
   generated: number;
-  /** Tokens of earlier output computed again for a resumed answer. */
+  /** Output tokens of an earlier attempt recomputed to resume a response. */
   recomputed: number;
-  /** Tokens whose KV cache came from another engine. */
+  /** Tokens whose KV cache was transferred from another engine. */
   transferred: number;
   requests: number;
 };
--- a/packages/stand_ins/engine_job.ts
+++ b/packages/stand_ins/engine_job.ts
@@ -1,18 +1,18 @@
-/** One generation at a stand-in engine. @public */
+/** One generation request of a stand-in engine. @public */
 export type EngineJob = {
   readonly id: string;
   /** Prompt and earlier output together. */
   readonly text: string;
-  /** The prompt, without what an earlier run has generated. */
+  /** The prompt without the output of an earlier attempt. */
   readonly prompt: string;
-  /** Output of an earlier run that this one continues. */
+  /** Output of an earlier attempt that this one continues. */
   readonly emitted: string;
   readonly maxTokens: number;
-  /** Lower goes first. */
+  /** Lower values are scheduled first. */
   readonly priority: number;
-  /** Whether the KV cache is taken over from another engine. */
+  /** Whether the KV cache is transferred from another engine. */
   readonly kvTransfer: boolean;
-  /** Told what had to be computed before the first token. */
+  /** Called with the number of tokens to compute before the first one. */
   readonly onStart?: (computed: number) => void;
   readonly onToken: (text: string) => void;
   readonly onEnd: (end: EngineEnd) => void;
--- a/packages/stand_ins/engine_server.ts
+++ b/packages/stand_ins/engine_server.ts
@@ -6,11 +6,11 @@
 import { readBody } from "./read_body.ts";
 import { StandInBehaviour } from "./stand_in_behaviour.ts";
 
-/** Tokens sent before a truncated answer ends. */
+/** Tokens sent before an interrupted response ends. */
 const TRUNCATED_TOKENS = 3;
 
 /**
- * The engine's side of the OpenAI-compatible API, streaming only.
+ * Serves the OpenAI-compatible API of an engine, streaming only.
  *
  * @internal
  */
@@ -91,7 +91,7 @@
   }
 }
 
-/** Which answer an event belongs to. */
+/** Identifies the response that an event belongs to. */
 type EventTarget = { readonly chat: boolean; readonly id: string };
 
 function formatChunk(target: EventTarget & { text: string }): string {
--- a/packages/stand_ins/engine_settings.ts
+++ b/packages/stand_ins/engine_settings.ts
@@ -7,15 +7,15 @@
   readonly prefillRate: number;
   /** Time between tokens of one request. */
   readonly decodeInterval: Milliseconds;
-  /** Tokens of KV cache moved per second. */
+  /** Tokens of KV cache transferred per second. */
   readonly transferRate: number;
-  /** Prompt blocks that the prefix cache holds. */
+  /** Capacity of the prefix cache in prompt blocks. */
   readonly cacheBlocks: number;
   /**
-   * Changes the text that is generated, as random sampling would; engines of
-   * the same salt generate the same text.
+   * Varies the generated text; engines with the same salt generate the same
+   * text.
    */
   readonly salt: string;
-  /** Share by which a full batch slows each token down; 0 without it. */
+  /** Relative increase of the decode interval at a full batch; default 0. */
   readonly batchSlowdown?: number;
 };
--- a/packages/stand_ins/expected_completion.ts
+++ b/packages/stand_ins/expected_completion.ts
@@ -2,7 +2,8 @@
 import { TokenSource } from "./token_source.ts";
 
 /**
- * The answer that an engine of this salt gives to a chat or completion body.
+ * Computes the text that an engine with this salt generates for a chat or
+ * completion body.
  *
  * @public
  */
--- a/packages/stand_ins/main.ts
+++ b/packages/stand_ins/main.ts
@@ -7,9 +7,9 @@
 import type { StandInSettings } from "./stand_in_settings.ts";
 import { UpstreamStandIn } from "./upstream_stand_in.ts";
 
-/** How long a stopped stand-in lets its work run on. */
-const STOP_LIMIT = 5000;
-const IDLE_CHECK = 50;
+/** Time for running requests to finish after SIGTERM. */
+const STOP_TIMEOUT_MS = 5000;
+const IDLE_CHECK_INTERVAL_MS = 50;
 
 const file = process.argv[2];
 if (file === undefined) {
@@ -22,10 +22,10 @@
 process.on("SIGTERM", () => void stop());
 
 async function stop(): Promise<void> {
-  const limit = Date.now() + STOP_LIMIT;
-  await standIn.announceReclaim(STOP_LIMIT);
-  while (!standIn.isIdle && Date.now() < limit) {
-    await new Promise((resolve) => setTimeout(resolve, IDLE_CHECK));
+  const deadline = Date.now() + STOP_TIMEOUT_MS;
+  await standIn.announceReclaim(STOP_TIMEOUT_MS);
+  while (!standIn.isIdle && Date.now() < deadline) {
+    await new Promise((resolve) => setTimeout(resolve, IDLE_CHECK_INTERVAL_MS));
   }
   standIn.stop();
   process.exit(0);
--- a/packages/stand_ins/mod.ts
+++ b/packages/stand_ins/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for what heroncleat meets: model engines and plain services
+ * Stand-in upstreams for tests and benchmarks: model engines and plain services
  * that announce themselves.
  *
  * @module
--- a/packages/stand_ins/model_engine.ts
+++ b/packages/stand_ins/model_engine.ts
@@ -5,10 +5,10 @@
 import type { EngineSettings } from "./engine_settings.ts";
 import { TokenSource } from "./token_source.ts";
 
-/** Runs an action later; returns how to cancel it. */
+/** Schedules an action after a delay in ms; returns a function to cancel it. */
 type Schedule = (action: () => void, delay: number) => () => void;
 
-/** A generation that has a slot. */
+/** A generation that occupies a slot. */
 type RunningJob = {
   readonly job: EngineJob;
   readonly source: TokenSource;
@@ -16,12 +16,12 @@
   cancelTimer: () => void;
 };
 
-const BLOCK_CHARACTERS = 256;
+const CHARACTERS_PER_BLOCK = 256;
 const MS_PER_SECOND = 1000;
 
 /**
- * A small model engine: slots, a queue by priority, a prefix cache of limited
- * size, prefill and decode times. Time comes from the function passed in.
+ * A simulated model engine with slots, a priority queue, a bounded prefix cache,
+ * and prefill and decode times. The given function schedules its timers.
  *
  * @public
  */
@@ -109,15 +109,15 @@
     running.cancelTimer = this.#schedule(step, delay);
   }
 
-  /** Counts what must be computed and returns how long it takes. */
+  /** Counts the prefill tokens and returns the prefill time in ms. */
   #prefill(
     job: EngineJob,
     tokens: { prompt: number; emitted: number },
   ): number {
     if (job.kvTransfer) {
-      const moved = tokens.prompt + tokens.emitted;
-      this.counts.transferred += moved;
-      return moved / this.#settings.transferRate * MS_PER_SECOND;
+      const transferred = tokens.prompt + tokens.emitted;
+      this.counts.transferred += transferred;
+      return transferred / this.#settings.transferRate * MS_PER_SECOND;
     }
     this.counts.computed += tokens.prompt;
     this.counts.recomputed += tokens.emitted;
@@ -155,18 +155,20 @@
     return decodeInterval * (1 + batchSlowdown * this.#running.size / slots);
   }
 
-  /** Share of the prompt that the cache holds; caches all of it. */
+  /** Returns the cached share of a prompt and caches all of its blocks. */
   #lookUpPrefix(prompt: string): number {
     const blocks: string[] = [];
-    let chain = "";
+    let prefixHash = "";
     for (
       let start = 0;
-      start + BLOCK_CHARACTERS <= prompt.length;
-      start += BLOCK_CHARACTERS
+      start + CHARACTERS_PER_BLOCK <= prompt.length;
+      start += CHARACTERS_PER_BLOCK
     ) {
-      const block = prompt.slice(start, start + BLOCK_CHARACTERS);
-      chain = createHash("sha1").update(chain).update(block).digest("hex");
-      blocks.push(chain);
+      const block = prompt.slice(start, start + CHARACTERS_PER_BLOCK);
+      prefixHash = createHash("sha1").update(prefixHash).update(block).digest(
+        "hex",
+      );
+      blocks.push(prefixHash);
     }
     let cached = 0;
     while (cached < blocks.length && this.#cache.has(blocks[cached]!)) {
--- a/packages/stand_ins/order_log.ts
+++ b/packages/stand_ins/order_log.ts
@@ -1,4 +1,4 @@
-/** An order that an upstream received. */
+/** An operator order that an upstream received. */
 type ReceivedOrder = {
   readonly fencing: number;
   readonly path: string;
@@ -7,8 +7,8 @@
 };
 
 /**
- * The orders a stand-in received. One that checks fencing numbers refuses any
- * that is not above the highest it has seen.
+ * Records the orders that a stand-in received. If it checks fencing tokens, it
+ * rejects orders whose token is below the highest one received.
  *
  * @internal
  */
--- a/packages/stand_ins/parse_generation.ts
+++ b/packages/stand_ins/parse_generation.ts
@@ -1,9 +1,9 @@
-/** A generation as a caller of the engine asks for it. */
+/** A parsed generation request. */
 type Generation = {
-  /** Everything the next token follows from. */
+  /** Prompt and emitted text, from which the next token is generated. */
   readonly text: string;
   readonly prompt: string;
-  /** The part of the text that an earlier run has generated. */
+  /** The part of the text that an earlier attempt generated. */
   readonly emitted: string;
   readonly maxTokens: number;
   readonly priority: number;
@@ -22,7 +22,7 @@
 
 const DEFAULT_MAX_TOKENS = 1024;
 
-/** Reads an OpenAI-compatible body with the extensions of vLLM. @internal */
+/** Parses an OpenAI-compatible body with the extensions of vLLM. @internal */
 export function parseGeneration(body: GenerationBody): Generation {
   const messages = [...body.messages ?? []];
   const continues = body.continue_final_message === true;
--- a/packages/stand_ins/read_body.ts
+++ b/packages/stand_ins/read_body.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from "node:http";
 
-/** Reads a whole request body as text. @internal */
+/** Reads a complete request body as UTF-8 text. @internal */
 export async function readBody(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) {
--- a/packages/stand_ins/service_server.ts
+++ b/packages/stand_ins/service_server.ts
@@ -5,8 +5,8 @@
 import { StandInBehaviour } from "./stand_in_behaviour.ts";
 
 /**
- * A plain service that records each call it runs; tests count the record to
- * find calls that ran twice or against a refusal.
+ * A plain service that records each call it runs, so that tests can detect calls
+ * that ran twice or after a refusal.
  *
  * @internal
  */
--- a/packages/stand_ins/stand_in_behaviour.ts
+++ b/packages/stand_ins/stand_in_behaviour.ts
@@ -1,14 +1,14 @@
 /** Faults that a test can switch on in a stand-in. @public */
 export const StandInBehaviour = {
   normal: "normal",
-  /** Answers 503 and says that it was not run. */
+  /** Responds with 503 and reports that the request was not run. */
   refuse: "refuse",
-  /** Answers 503 without saying whether it was run. */
+  /** Responds with 503 without reporting whether the request was run. */
   fail: "fail",
-  /** Runs the request and cuts the connection before the answer. */
+  /** Runs the request and breaks the connection before the complete response. */
   cut: "cut",
-  /** Runs the request and never answers. */
+  /** Runs the request and never responds. */
   stall: "stall",
-  /** Sends a part of the answer and ends it as if it were whole. */
+  /** Sends an incomplete response; an engine ends it like a complete one. */
   truncate: "truncate",
 } as const;
--- a/packages/stand_ins/stand_in_settings.ts
+++ b/packages/stand_ins/stand_in_settings.ts
@@ -19,6 +19,6 @@
   readonly sharedSecret: string;
   readonly announceInterval: Milliseconds;
   readonly engine: EngineSettings;
-  /** Text in a body upon which the process ends; absent for none. */
+  /** The process crashes if a request body contains this text. */
   readonly crashOn?: string;
 };
--- a/packages/stand_ins/token_source.ts
+++ b/packages/stand_ins/token_source.ts
@@ -19,13 +19,13 @@
   " tomorrow",
 ] as const;
 
-/** One in so many tokens ends an answer. */
-const END_INTERVAL = 250;
+/** Mean length of a completion: each draw ends it with 1 / this chance. */
+const MEAN_COMPLETION_TOKENS = 250;
 
 /**
- * The stand-in's model. Each token follows from the salt and the whole text
- * before it, as greedy decoding does: continuing an answer from prompt and
- * output so far gives the text that would have come anyway.
+ * A deterministic model: each token depends on the salt and all preceding text,
+ * as in greedy decoding. Generation that resumes from the prompt and the output
+ * so far therefore continues with the same text.
  *
  * @public
  */
@@ -36,10 +36,10 @@
     this.#hash = createHash("sha1").update(salt).update(text);
   }
 
-  /** The next token, or nothing at the end of the answer. */
+  /** Returns the next token, or undefined at the end of the completion. */
   next(): string | undefined {
     const draw = this.#hash.copy().digest().readUInt32BE(0);
-    if (draw % END_INTERVAL === 0) {
+    if (draw % MEAN_COMPLETION_TOKENS === 0) {
       return undefined;
     }
     const token = WORDS[draw % WORDS.length]!;
--- a/packages/stand_ins/upstream_stand_in.ts
+++ b/packages/stand_ins/upstream_stand_in.ts
@@ -14,12 +14,12 @@
 import { StandInBehaviour } from "./stand_in_behaviour.ts";
 import type { StandInSettings } from "./stand_in_settings.ts";
 
-/** Path on which tests steer and question a stand-in. */
+/** Path at which tests control and inspect a stand-in. */
 const CONTROL_PATH = "/stand_in";
 
 /**
- * A whole stand-in upstream: a model engine or a plain service that announces
- * itself, takes orders and can be told to misbehave or to leave.
+ * A stand-in upstream: a model engine or a plain service that announces itself,
+ * handles orders, and can be made to misbehave or to depart.
  *
  * @public
  */
@@ -61,7 +61,7 @@
     this.#announcer.start();
   }
 
-  /** Announces the reclaim; the caller ends the process when time is up. */
+  /** Announces the reclaim; the caller stops the process when time is up. */
   async announceReclaim(reclaimIn: Milliseconds): Promise<void> {
     await this.#announcer.announceReclaim(reclaimIn);
   }
