--- a/packages/soak/background_fault_scenarios.ts
+++ b/packages/soak/background_fault_scenarios.ts
@@ -14,8 +14,7 @@
 /** Time for which a caller repeats a crashing request. */
 const REPEAT_DURATION_MS = { min: 6000, spread: 8000 };
 const REPEAT_PAUSE_MS = { min: 100, spread: 500 };
-/** Upstreams that crash at the same time. */
-const MAX_CRASHED = 3;
+const MAX_CONCURRENT_CRASHES = 3;
 
 /** Faults of a single entry VM. */
 const entryFaultScenarios: readonly ((
@@ -121,7 +120,7 @@
   deployment: SoakDeployment,
   random: Random,
 ): Promise<void> {
-  const count = 1 + Math.floor(random() * MAX_CRASHED);
+  const count = 1 + Math.floor(random() * MAX_CONCURRENT_CRASHES);
   for (let crashed = 0; crashed < count; crashed += 1) {
     void deployment.pickUpstream()?.crash();
   }
--- a/packages/soak/guarantee_checks.ts
+++ b/packages/soak/guarantee_checks.ts
@@ -112,54 +112,54 @@
   }
 
   /** Checks that an upstream receives nothing once its drain time is over. */
-  checkReceived(arrival: ReceivedRequest): void {
-    this.#checkCrashing(arrival);
-    const departure = this.#departures.get(arrival.upstream);
+  checkReceived(received: ReceivedRequest): void {
+    this.#checkCrashing(received);
+    const departure = this.#departures.get(received.upstream);
     if (departure === undefined) {
       return;
     }
     const { drainTime, wasEntryUndisturbed, wasReplicaUndisturbed, describe } =
       this.#environment;
-    const after = arrival.at - departure.at;
+    const after = received.at - departure.at;
     this.latest.any = Math.max(this.latest.any, after);
     const isChecked = wasReplicaUndisturbed(departure.by, departure.at) &&
-      wasEntryUndisturbed(arrival.from, arrival.at);
+      wasEntryUndisturbed(received.from, received.at);
     if (!isChecked) {
       return;
     }
     this.latest.undisturbed = Math.max(this.latest.undisturbed, after);
     // Each pair of an upstream and an entry is reported once.
-    const pair = `${arrival.upstream} ${arrival.from}`;
+    const pair = `${received.upstream} ${received.from}`;
     if (after > drainTime && !this.#reportedPairs.has(pair)) {
       this.#reportedPairs.add(pair);
       this.report(
         "leaving",
-        `${arrival.upstream} received a request ${
+        `${received.upstream} received a request ${
           Math.round(after)
         } ms after ` +
           `${departure.by} acknowledged that it ${departure.mode}; sent by ` +
-          `${describe(arrival.from, arrival.at)}; the replica: ` +
-          describe(departure.by.split(":")[0]!, arrival.at),
+          `${describe(received.from, received.at)}; the replica: ` +
+          describe(departure.by.split(":")[0]!, received.at),
       );
     }
   }
 
   /** Checks that a non-idempotent request runs at most once. */
-  checkRun(arrival: ReceivedRequest): void {
-    if (!arrival.isNonIdempotent) {
+  checkRun(received: ReceivedRequest): void {
+    if (!received.isNonIdempotent) {
       return;
     }
-    const runs = [...this.#runs.get(arrival.attempt) ?? [], arrival];
-    this.#runs.set(arrival.attempt, runs);
+    const runs = [...this.#runs.get(received.attempt) ?? [], received];
+    this.#runs.set(received.attempt, runs);
     if (runs.length > 1) {
       const upstreams = runs.map(({ upstream }) => upstream).join(" and ");
-      this.report("once", `${arrival.attempt} ran at ${upstreams}`);
+      this.report("once", `${received.attempt} ran at ${upstreams}`);
     }
-    const status = this.#refusals.get(arrival.attempt);
+    const status = this.#refusals.get(received.attempt);
     if (status !== undefined) {
       this.report(
         "not_run",
-        `${arrival.attempt} ran after it was refused with ${status}`,
+        `${received.attempt} ran after it was refused with ${status}`,
       );
     }
   }
--- a/packages/soak/run_soak.ts
+++ b/packages/soak/run_soak.ts
@@ -66,11 +66,11 @@
 }): Promise<SoakReport> {
   const random = createRandomStream(options.seed, 0);
   const deployment = new SoakDeployment({ ...options, random });
-  const played: Record<string, number> = {};
+  const scenarioCounts: Record<string, number> = {};
   const finished = new AbortController();
   try {
     await Promise.race([
-      injectFaults(deployment, options, played),
+      injectFaults(deployment, options, scenarioCounts),
       aborted(options, finished.signal),
     ]);
   } finally {
@@ -81,7 +81,7 @@
   return {
     seed: options.seed,
     findings,
-    troubles: played,
+    troubles: scenarioCounts,
     leaves,
     crashes,
     latest: {
@@ -95,11 +95,12 @@
 async function injectFaults(
   deployment: SoakDeployment,
   { duration, seed }: { duration: Milliseconds; seed: number },
-  played: Record<string, number>,
+  scenarioCounts: Record<string, number>,
 ): Promise<void> {
   await deployment.start();
   const until = performance.now() + duration;
-  const note = (name: string) => played[name] = (played[name] ?? 0) + 1;
+  const note = (name: string) =>
+    scenarioCounts[name] = (scenarioCounts[name] ?? 0) + 1;
   await Promise.all([
     injectControlFaults(deployment, {
       until,
--- a/packages/soak/soak_deployment.ts
+++ b/packages/soak/soak_deployment.ts
@@ -198,8 +198,8 @@
       adapter,
       random: this.random,
       listReplicas: () => this.#listReplicas(),
-      onArrival: (arrival) => this.checks.checkReceived(arrival),
-      onRun: (arrival) => this.checks.checkRun(arrival),
+      onReceived: (received) => this.checks.checkReceived(received),
+      onRun: (received) => this.checks.checkRun(received),
       isNonIdempotent: (path) =>
         path.startsWith(this.#document.nonIdempotentPrefix),
       crashes: (path) => this.crashing.isCrashing(path),
--- a/packages/soak/soak_upstream.ts
+++ b/packages/soak/soak_upstream.ts
@@ -49,8 +49,8 @@
   readonly random: () => number;
   /** Operator addresses that it may report to, in order of preference. */
   readonly listReplicas: () => readonly string[];
-  readonly onArrival: (arrival: ReceivedRequest) => void;
-  readonly onRun: (arrival: ReceivedRequest) => void;
+  readonly onReceived: (received: ReceivedRequest) => void;
+  readonly onRun: (received: ReceivedRequest) => void;
   readonly isNonIdempotent: (path: string) => boolean;
   /** Whether a request crashes each upstream that runs it. */
   readonly crashes: (path: string) => boolean;
@@ -168,8 +168,8 @@
   async #sendHeartbeat(): Promise<void> {
     const replicas = this.#options.listReplicas();
     const { random, adapter } = this.#options;
-    const drawn = replicas[Math.floor(random() * replicas.length)];
-    const by = this.#replica ?? drawn;
+    const randomReplica = replicas[Math.floor(random() * replicas.length)];
+    const by = this.#replica ?? randomReplica;
     if (by === undefined) {
       return;
     }
@@ -197,11 +197,11 @@
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const { adapter, onArrival, onRun, isNonIdempotent, crashes, random } =
+    const { adapter, onReceived, onRun, isNonIdempotent, crashes, random } =
       this.#options;
     const { headers } = adapter;
     const attempt = String(message.headers[headers.attempt] ?? "");
-    const arrival: ReceivedRequest = {
+    const received: ReceivedRequest = {
       attempt,
       upstream: this.name,
       from: message.socket.remoteAddress ?? "",
@@ -216,13 +216,13 @@
       response.writeHead(421).end();
       return;
     }
-    onArrival(arrival);
+    onReceived(received);
     if (this.#inFlight >= SLOTS * 4) {
       response.writeHead(503, { [headers.notRun]: "1" }).end();
       return;
     }
-    onRun(arrival);
-    if (crashes(arrival.target)) {
+    onRun(received);
+    if (crashes(received.target)) {
       response.writeHead(200, { [headers.digest]: `by-${this.name}` });
       response.write("begun");
       await new Promise((resolve) => {
@@ -232,7 +232,7 @@
         );
       });
       if (this.#server.listening) {
-        this.#options.onCrash(arrival.target);
+        this.#options.onCrash(received.target);
         void this.crash();
       }
       return;
