--- a/apps/heroncleatd/tests/callers_api_test.ts
+++ b/apps/heroncleatd/tests/callers_api_test.ts
@@ -1,7 +1,7 @@
 import { connect } from "node:net";
 import { splitAddress } from "@heroncleat/base";
-import { followAnswer } from "@heroncleat/local_deployment";
-import { expectedAnswer } from "@heroncleat/stand_ins";
+import { streamChatCompletion } from "@heroncleat/local_deployment";
+import { expectedCompletion } from "@heroncleat/stand_ins";
 import * as fc from "fast-check";
 import { request } from "undici";
 import { LiveDeployment } from "./live_deployment.ts";
@@ -56,8 +56,8 @@
 
   test("returns the same response streamed and unstreamed", async () => {
     const body = createChatBody("A table for two by the window, please.");
-    const expected = expectedAnswer(body, "demo");
-    const streamed = await followAnswer({
+    const expected = expectedCompletion(body, "demo");
+    const streamed = await streamChatCompletion({
       entries: live.callerAddresses,
       key: live.key,
       body,
@@ -76,12 +76,12 @@
       body: JSON.stringify(completion),
     });
     expect(JSON.parse(text.body).choices[0].text)
-      .toBe(expectedAnswer(completion, "demo"));
+      .toBe(expectedCompletion(completion, "demo"));
   });
 
   test("returns a response again from any entry, starting at any chunk", async () => {
     const body = createChatBody("Fetch me again", 20);
-    const { requestId, text } = await followAnswer({
+    const { requestId, text } = await streamChatCompletion({
       entries: live.callerAddresses,
       key: live.key,
       body,
--- a/apps/heroncleatd/tests/crash_test.ts
+++ b/apps/heroncleatd/tests/crash_test.ts
@@ -32,7 +32,7 @@
 /** Restarts an upstream after each crash. */
 async function restartAfterCrashes(name: string): Promise<void> {
   while (!isStopping) {
-    await live.processes.exitOf(name);
+    await live.processes.waitForExit(name);
     crashes += isStopping ? 0 : 1;
     await sleep(DOWNTIME_MS);
     if (!isStopping) {
--- a/apps/heroncleatd/tests/loss_test.ts
+++ b/apps/heroncleatd/tests/loss_test.ts
@@ -1,5 +1,5 @@
 import { readFileSync, writeFileSync } from "node:fs";
-import { followAnswer, waitFor } from "@heroncleat/local_deployment";
+import { streamChatCompletion, waitFor } from "@heroncleat/local_deployment";
 import { LiveDeployment } from "./live_deployment.ts";
 
 const ENGINES = 4;
@@ -37,14 +37,14 @@
   count: number,
   from = 0,
 ): {
-  responses: ReturnType<typeof followAnswer>[];
+  responses: ReturnType<typeof streamChatCompletion>[];
   accepted: Promise<unknown>;
 } {
   const accepted: Promise<unknown>[] = [];
   const responses = Array.from({ length: count }, (_, n) => {
     let onAccepted = () => {};
     const isAccepted = new Promise<void>((resolve) => onAccepted = resolve);
-    const response = followAnswer({
+    const response = streamChatCompletion({
       entries: rotate(live.callerAddresses, n),
       key: live.key,
       body: {
@@ -72,7 +72,7 @@
  * stored one.
  */
 async function expectComplete(
-  responses: Awaited<ReturnType<typeof followAnswer>>[],
+  responses: Awaited<ReturnType<typeof streamChatCompletion>>[],
   index = 3,
 ): Promise<void> {
   for (const response of responses) {
@@ -168,7 +168,7 @@
     expect(responses.map((response) => response.reconnects)).toEqual(
       responses.map(() => 0),
     );
-    expect(await live.processes.exitOf("entry-1")).toBe(0);
+    expect(await live.processes.waitForExit("entry-1")).toBe(0);
   });
 
   test("are handed over when a shutdown reaches its time limit", async () => {
@@ -179,6 +179,6 @@
     const accepted = responses.filter((response) => response.requestId !== "");
     await expectComplete(accepted, 1);
     expect(accepted.some((response) => response.reconnects > 0)).toBe(true);
-    expect(await live.processes.exitOf("entry-4")).toBe(0);
+    expect(await live.processes.waitForExit("entry-4")).toBe(0);
   });
 });
--- a/apps/heroncleatd/tests/restart_test.ts
+++ b/apps/heroncleatd/tests/restart_test.ts
@@ -1,4 +1,4 @@
-import { followAnswer, waitFor } from "@heroncleat/local_deployment";
+import { streamChatCompletion, waitFor } from "@heroncleat/local_deployment";
 import { LiveDeployment } from "./live_deployment.ts";
 
 const live = new LiveDeployment({
@@ -19,7 +19,7 @@
     const statuses: number[] = [];
     for (let round = 0; round < RESTARTS; round += 1) {
       live.processes.signal("entry-2", "SIGKILL");
-      await live.processes.exitOf("entry-2");
+      await live.processes.waitForExit("entry-2");
       live.restart("entry-2");
       await waitFor("The return of entry-2", {
         timeout: 15_000,
@@ -30,7 +30,7 @@
           return response?.status === 200 || undefined;
         },
       });
-      const response = await followAnswer({
+      const response = await streamChatCompletion({
         entries: [live.callerAddresses[1]!],
         key: live.key,
         body: {
--- a/apps/heroncleatd/tests/wave_test.ts
+++ b/apps/heroncleatd/tests/wave_test.ts
@@ -1,6 +1,6 @@
 import {
-  followAnswer,
-  type FollowedAnswer,
+  streamChatCompletion,
+  type StreamedChatCompletion,
 } from "@heroncleat/local_deployment";
 import { LiveDeployment } from "./live_deployment.ts";
 
@@ -43,7 +43,7 @@
     await sleep(NOTICE_MS);
     for (const name of names) {
       live.processes.signal(name, "SIGKILL");
-      await live.processes.exitOf(name);
+      await live.processes.waitForExit(name);
     }
     await sleep(300);
     for (const name of names) {
@@ -57,7 +57,7 @@
 
 describe("a thousand requests while whole zones are reclaimed", () => {
   test("get complete responses", async () => {
-    const responses: FollowedAnswer[] = [];
+    const responses: StreamedChatCompletion[] = [];
     let next = 0;
     let running = CONCURRENT_CALLERS;
     const waves = runWaves(() => running === 0);
@@ -66,7 +66,7 @@
         const n = next;
         next += 1;
         responses.push(
-          await followAnswer({
+          await streamChatCompletion({
             entries: [
               live.callerAddresses[n % 4]!,
               live.callerAddresses[(n + 1) % 4]!,
--- a/packages/local_deployment/plan_addresses.ts
+++ b/packages/local_deployment/plan_addresses.ts
@@ -4,14 +4,13 @@
 type PlannedPeer = {
   readonly name: string;
   readonly zone: string;
-  readonly peer: string;
-  /** Address that peers use: the relay's where there is one. */
-  readonly advertised: string;
+  readonly peerAddress: string;
+  /** Address that peers connect to: the relay if there is one. */
+  readonly advertisedAddress: string;
   /** Operator or caller address. */
-  readonly served: string;
+  readonly serviceAddress: string;
 };
 
-/** A planned upstream. */
 type PlannedUpstream = {
   readonly name: string;
   readonly zone: string;
@@ -27,43 +26,45 @@
 };
 
 const ZONES = ["zone-a", "zone-b", "zone-c", "zone-d"] as const;
-/** Each control replica and entry has a loopback address of its own. */
-const CONTROL_HOSTS = "127.0.1.";
-const ENTRY_HOSTS = "127.0.2.";
-const CONTROL_RELAYS = "127.0.3.";
-const ENTRY_RELAYS = "127.0.4.";
-const UPSTREAM_PORTS = 100;
+/** Prefixes of loopback addresses; each process has its own address. */
+const CONTROL_HOST_PREFIX = "127.0.1.";
+const ENTRY_HOST_PREFIX = "127.0.2.";
+const CONTROL_RELAY_PREFIX = "127.0.3.";
+const ENTRY_RELAY_PREFIX = "127.0.4.";
+const UPSTREAM_PORT_OFFSET = 100;
 
 /** Plans the addresses of a local deployment. @internal */
 export function planAddresses(plan: DeploymentPlan): AddressPlan {
   return {
-    controls: count(plan.controls).map((place) =>
+    controls: numbersUpTo(plan.controls).map((number) =>
       planPeer(plan, {
-        name: `control-${place}`,
-        place,
-        hosts: CONTROL_HOSTS,
-        relays: CONTROL_RELAYS,
+        name: `control-${number}`,
+        number,
+        hostPrefix: CONTROL_HOST_PREFIX,
+        relayPrefix: CONTROL_RELAY_PREFIX,
       })
     ),
-    entries: count(plan.entries).map((place) =>
+    entries: numbersUpTo(plan.entries).map((number) =>
       planPeer(plan, {
-        name: `entry-${place}`,
-        place,
-        hosts: ENTRY_HOSTS,
-        relays: ENTRY_RELAYS,
+        name: `entry-${number}`,
+        number,
+        hostPrefix: ENTRY_HOST_PREFIX,
+        relayPrefix: ENTRY_RELAY_PREFIX,
       })
     ),
     upstreams: [
-      ...count(plan.engines).map((place) => ({
-        name: `engine-${place}`,
-        zone: zoneOf(place),
-        address: `127.0.0.1:${plan.firstPort + UPSTREAM_PORTS + place}`,
+      ...numbersUpTo(plan.engines).map((number) => ({
+        name: `engine-${number}`,
+        zone: zoneOf(number),
+        address: `127.0.0.1:${plan.firstPort + UPSTREAM_PORT_OFFSET + number}`,
         isEngine: true,
       })),
-      ...count(plan.services).map((place) => ({
-        name: `booking-${place}`,
-        zone: zoneOf(place),
-        address: `127.0.0.1:${plan.firstPort + 2 * UPSTREAM_PORTS + place}`,
+      ...numbersUpTo(plan.services).map((number) => ({
+        name: `booking-${number}`,
+        zone: zoneOf(number),
+        address: `127.0.0.1:${
+          plan.firstPort + 2 * UPSTREAM_PORT_OFFSET + number
+        }`,
         isEngine: false,
       })),
     ],
@@ -72,24 +73,31 @@
 
 function planPeer(
   plan: DeploymentPlan,
-  options: { name: string; place: number; hosts: string; relays: string },
+  options: {
+    name: string;
+    number: number;
+    hostPrefix: string;
+    relayPrefix: string;
+  },
 ): PlannedPeer {
-  const { name, place, hosts, relays } = options;
-  const host = `${hosts}${place}`;
-  const peer = `${host}:${plan.firstPort}`;
+  const { name, number, hostPrefix, relayPrefix } = options;
+  const host = `${hostPrefix}${number}`;
+  const peerAddress = `${host}:${plan.firstPort}`;
   return {
     name,
-    zone: zoneOf(place),
-    peer,
-    advertised: plan.relayed ? `${relays}${place}:${plan.firstPort}` : peer,
-    served: `${host}:${plan.firstPort + 1}`,
+    zone: zoneOf(number),
+    peerAddress,
+    advertisedAddress: plan.usesRelays
+      ? `${relayPrefix}${number}:${plan.firstPort}`
+      : peerAddress,
+    serviceAddress: `${host}:${plan.firstPort + 1}`,
   };
 }
 
-function count(most: number): number[] {
-  return Array.from({ length: most }, (_, place) => place + 1);
+function numbersUpTo(max: number): number[] {
+  return Array.from({ length: max }, (_, number) => number + 1);
 }
 
-function zoneOf(place: number): string {
-  return ZONES[(place - 1) % ZONES.length]!;
+function zoneOf(number: number): string {
+  return ZONES[(number - 1) % ZONES.length]!;
 }
--- a/packages/local_deployment/follow_answer.ts
+++ b/packages/local_deployment/stream_chat_completion.ts
@@ -1,57 +1,56 @@
 import { createParser, type EventSourceMessage } from "eventsource-parser";
 import { type Dispatcher, request } from "undici";
-import type { FollowedAnswer } from "./followed_answer.ts";
+import type { StreamedChatCompletion } from "./streamed_chat_completion.ts";
 
-/** What a caller sends, and where to. */
-type FollowOptions = {
+type StreamOptions = {
   /** Caller addresses; the next one is used when a connection breaks. */
   readonly entries: readonly string[];
   readonly key: string;
   readonly body: Readonly<Record<string, unknown>>;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Milliseconds for the whole answer. */
+  /** Milliseconds for the complete response. */
   readonly timeout?: number;
-  /** Told once the request is accepted, before its first piece. */
+  /** Called once the request is accepted, before its first chunk. */
   readonly onAccepted?: () => void;
 };
 
-/** Progress of one answer over all its connections. */
+/** State of one response across all its connections. */
 type Progress = {
   requestId: string;
   text: string;
-  next: number;
+  nextId: number;
   misplaced: number;
   finishReason: string;
-  firstToken: number;
-  lastPieceAt: number;
+  timeToFirstToken: number;
+  lastChunkAt: number;
   readonly startedAt: number;
   readonly gaps: number[];
 };
 
-const DEFAULT_TIMEOUT = 60_000;
-const RECONNECT_PAUSE = 100;
+const DEFAULT_TIMEOUT_MS = 60_000;
+const RECONNECT_DELAY_MS = 100;
 
 /**
- * Sends a streamed chat request and reads its answer to the end. When the
- * connection breaks, it asks the next entry for the rest by `Last-Event-ID`.
+ * Sends a streaming chat request and reads the response to the end. If the
+ * connection breaks, it resumes from the next entry with `Last-Event-ID`.
  *
  * @public
  */
-export async function followAnswer(
-  options: FollowOptions,
-): Promise<FollowedAnswer> {
+export async function streamChatCompletion(
+  options: StreamOptions,
+): Promise<StreamedChatCompletion> {
   const progress: Progress = {
     requestId: "",
     text: "",
-    next: 0,
+    nextId: 0,
     misplaced: 0,
     finishReason: "",
-    firstToken: 0,
-    lastPieceAt: 0,
+    timeToFirstToken: 0,
+    lastChunkAt: 0,
     startedAt: performance.now(),
     gaps: [],
   };
-  const until = performance.now() + (options.timeout ?? DEFAULT_TIMEOUT);
+  const until = performance.now() + (options.timeout ?? DEFAULT_TIMEOUT_MS);
   const first = await open(options).catch(() => undefined);
   if (first !== undefined && first.statusCode !== 200) {
     const refusal = await first.body.text();
@@ -69,14 +68,14 @@
     performance.now() < until
   ) {
     reconnects += 1;
-    await new Promise((resolve) => setTimeout(resolve, RECONNECT_PAUSE));
+    await new Promise((resolve) => setTimeout(resolve, RECONNECT_DELAY_MS));
     await reconnect(options, progress, reconnects).catch(() => undefined);
   }
   const status = first?.statusCode ?? 0;
   return report(progress, { status, run: "", refusal: "", reconnects });
 }
 
-function open(options: FollowOptions): Promise<Dispatcher.ResponseData> {
+function open(options: StreamOptions): Promise<Dispatcher.ResponseData> {
   return request(`http://${entryAt(options, 0)}/v1/chat/completions`, {
     method: "POST",
     headers: {
@@ -91,19 +90,19 @@
 }
 
 async function reconnect(
-  options: FollowOptions,
+  options: StreamOptions,
   progress: Progress,
-  turn: number,
+  connectionIndex: number,
 ): Promise<void> {
   const id = encodeURIComponent(progress.requestId);
   const headers: Record<string, string> = {
     authorization: `Bearer ${options.key}`,
   };
-  if (progress.next > 0) {
-    headers["last-event-id"] = String(progress.next - 1);
+  if (progress.nextId > 0) {
+    headers["last-event-id"] = String(progress.nextId - 1);
   }
   const response = await request(
-    `http://${entryAt(options, turn)}/v1/requests/${id}`,
+    `http://${entryAt(options, connectionIndex)}/v1/requests/${id}`,
     { headers, headersTimeout: 10_000, bodyTimeout: 10_000 },
   );
   if (response.statusCode !== 200) {
@@ -113,8 +112,8 @@
   await read(response, progress);
 }
 
-function entryAt(options: FollowOptions, turn: number): string {
-  return options.entries[turn % options.entries.length]!;
+function entryAt(options: StreamOptions, connectionIndex: number): string {
+  return options.entries[connectionIndex % options.entries.length]!;
 }
 
 async function read(
@@ -123,7 +122,7 @@
 ): Promise<void> {
   progress.requestId = String(response.headers["heroncleat-request"]);
   const parser = createParser({
-    onEvent: (event) => takeEvent(progress, event),
+    onEvent: (event) => handleEvent(progress, event),
   });
   const decoder = new TextDecoder();
   for await (const chunk of response.body) {
@@ -131,53 +130,56 @@
   }
 }
 
-function takeEvent(progress: Progress, event: EventSourceMessage): void {
+function handleEvent(progress: Progress, event: EventSourceMessage): void {
   if (event.event === "error" || event.data === "[DONE]") {
     return;
   }
   const choice = JSON.parse(event.data).choices?.[0];
   const text = choice?.delta?.content;
   if (typeof text === "string") {
-    takePiece(progress, { id: Number(event.id), text });
+    recordChunk(progress, { id: Number(event.id), text });
   }
   if (typeof choice?.finish_reason === "string") {
     progress.finishReason = choice.finish_reason;
   }
 }
 
-function takePiece(
+function recordChunk(
   progress: Progress,
-  piece: { id: number; text: string },
+  chunk: { id: number; text: string },
 ): void {
   const now = performance.now();
-  if (piece.id !== progress.next) {
+  if (chunk.id !== progress.nextId) {
     progress.misplaced += 1;
     return;
   }
-  if (piece.id === 0) {
-    progress.firstToken = now - progress.startedAt;
+  if (chunk.id === 0) {
+    progress.timeToFirstToken = now - progress.startedAt;
   } else {
-    progress.gaps.push(now - progress.lastPieceAt);
+    progress.gaps.push(now - progress.lastChunkAt);
   }
-  progress.lastPieceAt = now;
-  progress.next += 1;
-  progress.text += piece.text;
+  progress.lastChunkAt = now;
+  progress.nextId += 1;
+  progress.text += chunk.text;
 }
 
 function report(
   progress: Progress,
-  ending: Pick<FollowedAnswer, "status" | "run" | "refusal" | "reconnects">,
-): FollowedAnswer {
-  const { requestId, text, next, misplaced } = progress;
-  const { finishReason, firstToken, gaps } = progress;
+  ending: Pick<
+    StreamedChatCompletion,
+    "status" | "run" | "refusal" | "reconnects"
+  >,
+): StreamedChatCompletion {
+  const { requestId, text, nextId, misplaced } = progress;
+  const { finishReason, timeToFirstToken, gaps } = progress;
   return {
     ...ending,
     requestId,
     text,
-    pieces: next,
+    pieces: nextId,
     misplaced,
     finishReason,
-    firstToken,
+    timeToFirstToken,
     gaps,
   };
 }
--- a/packages/local_deployment/write_deployment.ts
+++ b/packages/local_deployment/write_deployment.ts
@@ -6,16 +6,16 @@
 import type { DeploymentPlan } from "./deployment_plan.ts";
 import { planAddresses } from "./plan_addresses.ts";
 
-const PRIVATE = 0o600;
-const SEEDS = 3;
-const ANNOUNCE_ENTRIES = 4;
+const PRIVATE_FILE_MODE = 0o600;
+const SEED_COUNT = 3;
+const ANNOUNCE_ENTRY_COUNT = 4;
 
 /** Sections of an INI file. */
 type Sections = Readonly<
   Record<string, Readonly<Record<string, string | number>>>
 >;
 
-/** Writes the settings, keys and secrets of a deployment. @public */
+/** Writes the settings, keys and secrets of a deployment to files. @public */
 export function writeDeployment(plan: DeploymentPlan): Deployment {
   mkdirSync(plan.folder, { recursive: true });
   const addresses = planAddresses(plan);
@@ -26,7 +26,7 @@
     workspaces.map((workspace) => [workspace, createToken()]),
   );
   const write = (name: string, text: string) => {
-    writeFileSync(join(plan.folder, name), text, { mode: PRIVATE });
+    writeFileSync(join(plan.folder, name), text, { mode: PRIVATE_FILE_MODE });
     return join(plan.folder, name);
   };
   const security = {
@@ -37,14 +37,15 @@
       formatPairs({ demo: operatorToken }),
     ),
   };
-  const replicas = addresses.controls.map((peer) => peer.advertised).join(", ");
-  const entryPeers = addresses.entries.map((peer) => peer.advertised);
+  const replicas = addresses.controls.map((peer) => peer.advertisedAddress)
+    .join(", ");
+  const entryPeers = addresses.entries.map((peer) => peer.advertisedAddress);
   const describe = (role: string, peer: typeof addresses.controls[number]) => ({
     name: peer.name,
     roles: role,
     zone: peer.zone,
-    peer_address: peer.peer,
-    advertised_peer_address: peer.advertised,
+    peer_address: peer.peerAddress,
+    advertised_peer_address: peer.advertisedAddress,
   });
   const controls = addresses.controls.map((peer) => {
     const dataFolder = join(plan.folder, "data", peer.name);
@@ -53,7 +54,7 @@
       formatSections({
         daemon: describe("control", peer),
         control: {
-          operator_address: peer.served,
+          operator_address: peer.serviceAddress,
           data_folder: dataFolder,
           replicas,
           entries: entryPeers.join(", "),
@@ -66,9 +67,9 @@
       name: peer.name,
       settingsFile,
       dataFolder,
-      operatorAddress: peer.served,
-      peerAddress: peer.peer,
-      advertisedAddress: peer.advertised,
+      operatorAddress: peer.serviceAddress,
+      peerAddress: peer.peerAddress,
+      advertisedAddress: peer.advertisedAddress,
     };
   });
   const entries = addresses.entries.map((peer) => {
@@ -77,8 +78,8 @@
       formatSections({
         daemon: describe("entry", peer),
         entry: {
-          caller_address: peer.served,
-          seeds: entryPeers.slice(0, SEEDS).join(", "),
+          caller_address: peer.serviceAddress,
+          seeds: entryPeers.slice(0, SEED_COUNT).join(", "),
           control: replicas,
           ...plan.entrySettings,
         },
@@ -90,21 +91,21 @@
       name: peer.name,
       zone: peer.zone,
       settingsFile,
-      callerAddress: peer.served,
-      peerAddress: peer.peer,
-      advertisedAddress: peer.advertised,
+      callerAddress: peer.serviceAddress,
+      peerAddress: peer.peerAddress,
+      advertisedAddress: peer.advertisedAddress,
     };
   });
-  const upstreams = addresses.upstreams.map((upstream, place) => {
+  const upstreams = addresses.upstreams.map((upstream, index) => {
     const base = describeUpstream(plan, {
       upstream,
-      place,
+      index,
       sharedSecret,
-      entries: entries.slice(0, ANNOUNCE_ENTRIES).map((entry) =>
+      entries: entries.slice(0, ANNOUNCE_ENTRY_COUNT).map((entry) =>
         entry.callerAddress
       ),
     });
-    const settings = plan.upstream?.(base, place) ?? base;
+    const settings = plan.upstream?.(base, index) ?? base;
     const settingsFile = write(
       `${upstream.name}.json`,
       JSON.stringify(settings, null, 2),
@@ -133,13 +134,13 @@
       address: string;
       isEngine: boolean;
     };
-    place: number;
+    index: number;
     sharedSecret: string;
     entries: readonly string[];
   },
 ): StandInSettings {
-  const { upstream, place, sharedSecret, entries } = options;
-  const onDemand = place === 0;
+  const { upstream, index, sharedSecret, entries } = options;
+  const onDemand = index === 0;
   return {
     name: upstream.name,
     address: upstream.address,
@@ -149,8 +150,8 @@
     zone: upstream.zone,
     vmClass: onDemand ? "on_demand" : "reclaimable",
     price: onDemand ? 3 : 1,
-    labels: { place: place % 2 === 0 ? "new" : "old" },
-    checksFencing: place % 2 === 0,
+    labels: { place: index % 2 === 0 ? "new" : "old" },
+    checksFencing: index % 2 === 0,
     entries,
     sharedSecret,
     announceInterval: 500,
--- /dev/null
+++ b/packages/soak/background_fault_scenarios.ts
@@ -0,0 +1,142 @@
+import type { Random } from "@heroncleat/base";
+import { randomDuration } from "./random_duration.ts";
+import type { Machine } from "./machine.ts";
+import { pause } from "./pause.ts";
+import { replaceUpstream } from "./replace_upstream.ts";
+import type { SoakDeployment } from "./soak_deployment.ts";
+import type { FaultScenario } from "./fault_scenario.ts";
+
+/** Limits the processes on the machine that runs the soak. */
+const MAX_MACHINES = 18;
+/** Network delay in each direction. */
+const MAX_DELAY_MS = 100;
+
+/** Time for which a caller repeats a crashing request. */
+const REPEAT_DURATION_MS = { min: 6000, spread: 8000 };
+const REPEAT_PAUSE_MS = { min: 100, spread: 500 };
+const MAX_CONCURRENT_CRASHES = 3;
+
+/** Faults of a single entry VM. */
+const entryFaultScenarios: readonly ((
+  deployment: SoakDeployment,
+  random: Random,
+  machine: Machine,
+) => Promise<void>)[] = [
+  async function kill(deployment, random, machine) {
+    machine.signal("SIGKILL");
+    await pause(randomDuration(random, { min: 300, spread: 1500 }));
+    deployment.startMachine(machine);
+  },
+  async function freeze(_deployment, random, machine) {
+    machine.signal("SIGSTOP");
+    await pause(randomDuration(random, { min: 500, spread: 4000 }));
+    machine.signal("SIGCONT");
+  },
+  async function blackhole(deployment, _random, machine) {
+    for (const { host } of deployment.replicaMachines()) {
+      deployment.proxy.blackhole(machine.host, host);
+    }
+  },
+  async function reset(deployment, _random, machine) {
+    deployment.proxy.reset(machine.host);
+  },
+  async function delay(deployment, random, machine) {
+    deployment.proxy.delay(machine.host, MAX_DELAY_MS * random());
+    await pause(randomDuration(random, { min: 1000, spread: 2000 }));
+    deployment.proxy.delay(machine.host, 0);
+  },
+  async function stepClock(_deployment, random, machine) {
+    machine.injectFaults({ clockAhead: Math.round((random() - 0.5) * 8000) });
+    await pause(randomDuration(random, { min: 1000, spread: 3000 }));
+    machine.injectFaults({});
+  },
+  async function suspend(_deployment, random, machine) {
+    await machine.suspend(randomDuration(random, { min: 1000, spread: 8000 }));
+  },
+];
+
+/** Injects a fault into one entry VM; control VMs aren't affected. */
+async function disturbEntry(
+  deployment: SoakDeployment,
+  random: Random,
+): Promise<void> {
+  const entries = deployment.activeMachines().filter(({ hasReplica }) =>
+    !hasReplica
+  );
+  const machine = entries[Math.floor(random() * entries.length)];
+  const scenario =
+    entryFaultScenarios[Math.floor(random() * entryFaultScenarios.length)]!;
+  if (machine !== undefined) {
+    const end = deployment.beginDisturbance(machine.host);
+    await scenario(deployment, random, machine);
+    end();
+  }
+}
+
+/** Adds a VM to the deployment. */
+async function addEntry(
+  deployment: SoakDeployment,
+  random: Random,
+): Promise<void> {
+  if (deployment.activeMachines().length >= MAX_MACHINES) {
+    return;
+  }
+  const at = Math.floor(random() * deployment.zones.length);
+  const machine = deployment.addMachine(deployment.zones[at]!, {
+    hasControlProcess: false,
+    hasReplica: false,
+  });
+  deployment.beginDisturbance(machine.host)();
+  deployment.startMachine(machine);
+}
+
+async function publish(deployment: SoakDeployment): Promise<void> {
+  await deployment.publish();
+}
+
+async function leave(
+  deployment: SoakDeployment,
+  random: Random,
+): Promise<void> {
+  await replaceUpstream(deployment, random);
+}
+
+/** Sends one crashing request repeatedly, to random entries. */
+async function repeatCrashing(
+  deployment: SoakDeployment,
+  random: Random,
+): Promise<void> {
+  const { crashing } = deployment;
+  const request = crashing.create({ isNonIdempotent: random() < 0.5 });
+  const until = performance.now() + randomDuration(random, REPEAT_DURATION_MS);
+  while (performance.now() < until) {
+    await crashing.send(request);
+    await pause(randomDuration(random, REPEAT_PAUSE_MS));
+  }
+}
+
+/** Crashes some upstreams at the same time; they restart later. */
+async function crashUpstreams(
+  deployment: SoakDeployment,
+  random: Random,
+): Promise<void> {
+  const count = 1 + Math.floor(random() * MAX_CONCURRENT_CRASHES);
+  for (let crashed = 0; crashed < count; crashed += 1) {
+    void deployment.pickUpstream()?.crash();
+  }
+  await pause(0);
+}
+
+/**
+ * Faults that run at any time beside those of control VMs. They are reported
+ * under their function names.
+ */
+export const backgroundFaultScenarios: readonly FaultScenario[] = [
+  disturbEntry,
+  disturbEntry,
+  addEntry,
+  publish,
+  leave,
+  repeatCrashing,
+  crashUpstreams,
+];
--- /dev/null
+++ b/packages/soak/guarantee_checks.ts
@@ -0,0 +1,183 @@
+import type { Milliseconds } from "@heroncleat/base";
+import type { ReceivedRequest } from "./received_request.ts";
+import type { Finding } from "./finding.ts";
+import type { RequestOutcome } from "./soak_caller.ts";
+import type { AcknowledgedDeparture } from "./soak_upstream.ts";
+
+/** Statuses that guarantee that a request didn't run and never will. */
+const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
+
+/** Crashes after which a request must no longer be forwarded. */
+const MAX_CRASHES = 3;
+/** Time within which all entries must have a record of the last crash. */
+const SUSPECT_PROPAGATION_TIME: Milliseconds = 3000;
+/** Requests that may still reach upstreams after that time. */
+const MAX_LATE_REQUESTS = 3;
+
+/** Record of a request that crashes upstreams. */
+type CrashingRequest = {
+  readonly crashedAt: Milliseconds[];
+  lateCount: number;
+};
+
+/** Facts about the deployment that the checks depend on. */
+type Environment = {
+  /** Time for which a departing upstream may still receive requests. */
+  readonly drainTime: Milliseconds;
+  /** Whether the replica at an operator address was undisturbed at a time. */
+  readonly wasReplicaUndisturbed: (
+    address: string,
+    at: Milliseconds,
+  ) => boolean;
+  /** Whether the entry on a host was undisturbed at a time. */
+  readonly wasEntryUndisturbed: (host: string, at: Milliseconds) => boolean;
+  /** Describes the state of a host at a time, for the text of a finding. */
+  readonly describe: (host: string, at: Milliseconds) => string;
+};
+
+/** Checks what callers and upstreams observe against the guarantees. */
+export class GuaranteeChecks {
+  readonly #startedAt = performance.now();
+  readonly #environment: Environment;
+  readonly #findings: Finding[] = [];
+  readonly #departures = new Map<string, AcknowledgedDeparture>();
+  readonly #reportedPairs = new Set<string>();
+  readonly #runs = new Map<string, ReceivedRequest[]>();
+  readonly #refusals = new Map<string, number>();
+  readonly #crashing = new Map<string, CrashingRequest>();
+  /**
+   * Longest time from an acknowledged departure to a request that was received
+   * after it: from undisturbed entries, and from any.
+   */
+  latest = { undisturbed: 0, any: 0 };
+  leaves = 0;
+
+  constructor(environment: Environment) {
+    this.#environment = environment;
+  }
+
+  get findings(): readonly Finding[] {
+    return this.#findings;
+  }
+
+  report(promise: Finding["promise"], text: string): void {
+    const at = Math.round(performance.now() - this.#startedAt);
+    this.#findings.push({ promise, at, text });
+  }
+
+  recordDeparture(departure: AcknowledgedDeparture): void {
+    this.#departures.set(departure.upstream, departure);
+    this.leaves += 1;
+  }
+
+  /** Records that an upstream crashed while running a request. */
+  recordCrash(target: string): void {
+    const crashing = this.#crashing.get(target) ??
+      { crashedAt: [], lateCount: 0 };
+    crashing.crashedAt.push(performance.now());
+    this.#crashing.set(target, crashing);
+  }
+
+  /** Number of upstreams that each crashing request crashed. */
+  get crashes(): readonly number[] {
+    return [...this.#crashing.values()].map(({ crashedAt }) =>
+      crashedAt.length
+    );
+  }
+
+  /** Checks that entries soon stop forwarding a crashing request. */
+  #checkCrashing({ target, from, at }: ReceivedRequest): void {
+    const crashing = this.#crashing.get(target);
+    const lastAllowed = crashing?.crashedAt[MAX_CRASHES - 1];
+    if (crashing === undefined || lastAllowed === undefined) {
+      return;
+    }
+    const after = at - lastAllowed;
+    if (
+      after > SUSPECT_PROPAGATION_TIME &&
+      this.#environment.wasEntryUndisturbed(from, at)
+    ) {
+      crashing.lateCount += 1;
+      if (crashing.lateCount === MAX_LATE_REQUESTS + 1) {
+        this.report(
+          "crashing",
+          `${target} is still received by upstreams ${
+            Math.round(after)
+          } ms after ` +
+            `the third one crashed while running it; sent by ` +
+            this.#environment.describe(from, at),
+        );
+      }
+    }
+  }
+
+  /** Checks that an upstream receives nothing once its drain time is over. */
+  checkReceived(received: ReceivedRequest): void {
+    this.#checkCrashing(received);
+    const departure = this.#departures.get(received.upstream);
+    if (departure === undefined) {
+      return;
+    }
+    const { drainTime, wasEntryUndisturbed, wasReplicaUndisturbed, describe } =
+      this.#environment;
+    const after = received.at - departure.at;
+    this.latest.any = Math.max(this.latest.any, after);
+    const isChecked = wasReplicaUndisturbed(departure.by, departure.at) &&
+      wasEntryUndisturbed(received.from, received.at);
+    if (!isChecked) {
+      return;
+    }
+    this.latest.undisturbed = Math.max(this.latest.undisturbed, after);
+    // Each pair of an upstream and an entry is reported once.
+    const pair = `${received.upstream} ${received.from}`;
+    if (after > drainTime && !this.#reportedPairs.has(pair)) {
+      this.#reportedPairs.add(pair);
+      this.report(
+        "leaving",
+        `${received.upstream} received a request ${
+          Math.round(after)
+        } ms after ` +
+          `${departure.by} acknowledged that it ${departure.mode}; sent by ` +
+          `${describe(received.from, received.at)}; the replica: ` +
+          describe(departure.by.split(":")[0]!, received.at),
+      );
+    }
+  }
+
+  /** Checks that a non-idempotent request runs at most once. */
+  checkRun(received: ReceivedRequest): void {
+    if (!received.isNonIdempotent) {
+      return;
+    }
+    const runs = [...this.#runs.get(received.attempt) ?? [], received];
+    this.#runs.set(received.attempt, runs);
+    if (runs.length > 1) {
+      const upstreams = runs.map(({ upstream }) => upstream).join(" and ");
+      this.report("once", `${received.attempt} ran at ${upstreams}`);
+    }
+    const status = this.#refusals.get(received.attempt);
+    if (status !== undefined) {
+      this.report(
+        "not_run",
+        `${received.attempt} ran after it was refused with ${status}`,
+      );
+    }
+  }
+
+  checkOutcome(
+    { attempt, isNonIdempotent, status, problem }: RequestOutcome,
+  ): void {
+    if (problem !== undefined) {
+      this.report("whole_answer", problem);
+    }
+    if (status >= 400 && status < 500 && !NOT_RUN_STATUSES.includes(status)) {
+      this.report("rejected", `${attempt} was rejected with ${status}`);
+    }
+    if (isNonIdempotent && NOT_RUN_STATUSES.includes(status)) {
+      this.#refusals.set(attempt, status);
+      if (this.#runs.has(attempt)) {
+        this.report("not_run", `${attempt} ran and was refused with ${status}`);
+      }
+    }
+  }
+}
--- a/packages/soak/machine.ts
+++ b/packages/soak/machine.ts
@@ -11,45 +11,45 @@
 import type { Milliseconds } from "@heroncleat/base";
 import { pause } from "./pause.ts";
 import type { MachinePlan } from "./machine_plan.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
-/** Preloaded into each process; see the files. */
-const PRELOADED = ["redirect_sockets.mjs", "inject_faults.mjs"].flatMap(
+/** Preload scripts that redirect connections and inject faults. */
+const PRELOAD_ARGS = ["redirect_sockets.mjs", "inject_faults.mjs"].flatMap(
   (name) => ["--import", new URL(`../${name}`, import.meta.url).pathname],
 );
 
-/** What is wrong with a VM's disk and clock; nothing where absent. */
+/** Faults of a VM's disk and clocks. */
 type InjectedFaults = {
-  /** Time that each sync takes longer. */
+  /** Extra time that each sync takes. */
   readonly syncDelay?: Milliseconds;
   readonly isDiskFull?: boolean;
   readonly clockAhead?: Milliseconds;
-  /** Time for which it was suspended; its steady clock didn't count that. */
+  /** Suspended time, which the steady clock of its processes leaves out. */
   readonly suspendedFor?: Milliseconds;
 };
 
 type Role = "entry" | "control";
 
-/** One VM of a soak: its real processes, its disk and its address. */
+/** One VM of a soak: its processes, its disk and its loopback address. */
 export class Machine {
   readonly name: string;
   readonly zone: string;
   readonly host: string;
-  readonly hasControl: boolean;
-  /** Whether its control process holds a replica; else it passes calls on. */
-  readonly hasDisk: boolean;
-  /** When its entry last began to run. */
+  readonly hasControlProcess: boolean;
+  /** Whether its control process runs a replica; otherwise it is a proxy. */
+  readonly hasReplica: boolean;
+  /** When its entry process last started. */
   startedAt: Milliseconds = 0;
-  /** From when on others know of it; later than it starts if it was added. */
-  readonly listedFrom: Milliseconds;
-  /** When it went for good. */
-  goneAt: Milliseconds = Infinity;
-  readonly #wire: SoakWire;
+  /** When other parties discover it; after its start for an added VM. */
+  readonly discoverableFrom: Milliseconds;
+  /** When it was removed permanently. */
+  removedAt: Milliseconds = Infinity;
+  readonly #adapter: ProgramAdapter;
   readonly #folder: string;
-  readonly #proxy: string;
-  #isRetired = false;
+  readonly #proxyAddress: string;
+  #areStartsPrevented = false;
   readonly #processes = new Map<Role, ChildProcess>();
-  /** In all, since the soak began. */
+  /** Total suspended time since the start of the soak. */
   #suspendedFor: Milliseconds = 0;
 
   constructor(
@@ -57,55 +57,55 @@
       name: string;
       zone: string;
       host: string;
-      hasControl: boolean;
-      hasDisk: boolean;
-      listedFrom: Milliseconds;
+      hasControlProcess: boolean;
+      hasReplica: boolean;
+      discoverableFrom: Milliseconds;
     },
-    options: { wire: SoakWire; folder: string; proxy: string },
+    options: { adapter: ProgramAdapter; folder: string; proxyAddress: string },
   ) {
     this.name = plan.name;
     this.zone = plan.zone;
     this.host = plan.host;
-    this.hasControl = plan.hasControl;
-    this.hasDisk = plan.hasDisk;
-    this.listedFrom = plan.listedFrom;
-    this.#wire = options.wire;
+    this.hasControlProcess = plan.hasControlProcess;
+    this.hasReplica = plan.hasReplica;
+    this.discoverableFrom = plan.discoverableFrom;
+    this.#adapter = options.adapter;
     this.#folder = options.folder;
-    this.#proxy = options.proxy;
+    this.#proxyAddress = options.proxyAddress;
   }
 
-  get isGone(): boolean {
-    return this.goneAt < Infinity;
+  get isRemoved(): boolean {
+    return this.removedAt < Infinity;
   }
 
   get roles(): readonly Role[] {
-    return this.hasControl ? ["control", "entry"] : ["entry"];
+    return this.hasControlProcess ? ["control", "entry"] : ["entry"];
   }
 
-  /** Address at which operators and upstreams reach its control process. */
+  /** Address of its control process for operators and upstreams. */
   get operatorAddress(): string {
-    return `${this.host}:${this.#wire.ports.operators}`;
+    return `${this.host}:${this.#adapter.ports.operators}`;
   }
 
   get callerAddress(): string {
-    return `${this.host}:${this.#wire.ports.callers}`;
+    return `${this.host}:${this.#adapter.ports.callers}`;
   }
 
   get lookupAddress(): string {
-    return `${this.host}:${this.#wire.ports.lookups}`;
+    return `${this.host}:${this.#adapter.ports.lookups}`;
   }
 
-  /** Starts nothing any more. */
-  retire(): void {
-    this.#isRetired = true;
+  /** Makes later calls of `start` do nothing. */
+  preventStarts(): void {
+    this.#areStartsPrevented = true;
   }
 
-  /** Starts those of its processes that don't run. */
+  /** Starts its processes that aren't running. */
   start(options: { seeds: readonly string[]; isFirstStart: boolean }): void {
-    if (this.#isRetired) {
+    if (this.#areStartsPrevented) {
       return;
     }
-    const dataFolder = this.hasDisk ? this.#dataFolder : undefined;
+    const dataFolder = this.hasReplica ? this.#dataFolder : undefined;
     if (dataFolder !== undefined) {
       mkdirSync(dataFolder, { recursive: true });
     }
@@ -117,7 +117,7 @@
       ...options,
     };
     const file = join(this.#folder, `${this.name}.json`);
-    writeFileSync(file, this.#wire.writeSettings(plan));
+    writeFileSync(file, this.#adapter.writeSettings(plan));
     for (const role of this.roles) {
       if (!this.#isRunning(role)) {
         this.#spawn(role, file);
@@ -131,33 +131,33 @@
     }
   }
 
-  /** Sets what is wrong with its disk and clock, within 0.1 s. */
-  inject(faults: InjectedFaults): void {
-    // A reader sees the old file or the new one.
+  /** Replaces the injected faults; takes effect within 0.1 s. */
+  injectFaults(faults: InjectedFaults): void {
+    // The rename is atomic, so that readers never see a partial file.
     const content = { suspendedFor: this.#suspendedFor, ...faults };
     writeFileSync(`${this.#faultsFile}.new`, JSON.stringify(content));
     renameSync(`${this.#faultsFile}.new`, this.#faultsFile);
   }
 
-  /** Suspends the VM for a time; processes that start later know of none. */
+  /** Suspends the VM; processes that start later aren't affected. */
   async suspend(time: Milliseconds): Promise<void> {
     this.signal("SIGSTOP");
     const stoppedAt = performance.now();
     await pause(time);
     this.#suspendedFor += performance.now() - stoppedAt;
-    this.inject({});
+    this.injectFaults({});
     this.signal("SIGCONT");
   }
 
-  /** Resolves once all its processes have ended. */
-  async ended(): Promise<void> {
+  /** Resolves once all its processes have exited. */
+  async waitForExit(): Promise<void> {
     while (this.roles.some((role) => this.#isRunning(role))) {
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
   }
 
-  /** Empties its disk; its processes must have ended. */
-  wipe(): void {
+  /** Empties its disk; its processes must have exited. */
+  wipeDisk(): void {
     rmSync(this.#dataFolder, { recursive: true, force: true });
   }
 
@@ -180,15 +180,15 @@
       this.startedAt = performance.now();
     }
     const log = openSync(join(this.#folder, `${this.name}-${role}.log`), "a");
-    const words = [...PRELOADED, ...this.#wire.command(role)];
-    const child = spawn(process.execPath, words, {
+    const args = [...PRELOAD_ARGS, ...this.#adapter.command(role)];
+    const child = spawn(process.execPath, args, {
       stdio: ["ignore", log, log],
       env: {
         PATH: process.env["PATH"],
-        SOAK_PROXY: this.#proxy,
+        SOAK_PROXY: this.#proxyAddress,
         SOAK_HOST: this.host,
         SOAK_FAULTS: this.#faultsFile,
-        [this.#wire.settingsVariable]: settingsFile,
+        [this.#adapter.settingsVariable]: settingsFile,
       },
     });
     closeSync(log);
--- a/packages/soak/mod.ts
+++ b/packages/soak/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Soaks: a deployment of real processes under signals, restarts and cut
- * connections, with its promises checked from outside.
+ * Soak tests: a deployment of real processes under signals, restarts and
+ * network partitions, with its guarantees checked from outside.
  *
  * @module
  */
@@ -9,5 +9,5 @@
 export type { SoakReport } from "./run_soak.ts";
 export type { MachinePlan } from "./machine_plan.ts";
 export type { SoakDocument } from "./soak_document.ts";
-export type { SoakWire } from "./soak_wire.ts";
+export type { ProgramAdapter } from "./program_adapter.ts";
 export type { UpstreamReport } from "./upstream_report.ts";
--- a/packages/soak/soak_wire.ts
+++ b/packages/soak/program_adapter.ts
@@ -3,22 +3,22 @@
 import type { UpstreamReport } from "./upstream_report.ts";
 
 /** A call with a JSON body. */
-type WireCall = {
+type AdapterCall = {
   readonly method: string;
   readonly path: string;
   readonly body: string;
 };
 
 /**
- * How a soak speaks to the program under test: names, formats and calls. They
- * are given to the soak, which decides what to say and when.
+ * Adapts a soak to the program under test: its commands, settings, header names
+ * and message formats.
  *
  * @public
  */
-export type SoakWire = {
-  /** The program and its words for a role. */
+export type ProgramAdapter = {
+  /** Script and arguments that run a role. */
   readonly command: (role: "entry" | "control") => readonly string[];
-  /** Variable that holds the path of the settings file. */
+  /** Environment variable with the path of the settings file. */
   readonly settingsVariable: string;
   readonly writeSettings: (plan: MachinePlan) => string;
   readonly ports: {
@@ -26,15 +26,15 @@
     readonly lookups: number;
     readonly operators: number;
   };
-  readonly publish: (document: SoakDocument) => WireCall;
-  readonly readDocument: WireCall;
-  /** The version of a configuration that was read. */
-  readonly versionOf: (body: string) => number;
-  readonly heartbeat: (report: UpstreamReport) => WireCall;
-  readonly departure: (name: string) => WireCall;
+  readonly publish: (document: SoakDocument) => AdapterCall;
+  readonly readDocument: AdapterCall;
+  /** Extracts the version from a configuration document. */
+  readonly parseVersion: (body: string) => number;
+  readonly heartbeat: (report: UpstreamReport) => AdapterCall;
+  readonly departure: (name: string) => AdapterCall;
   readonly lookup: (options: { host: string; zone: string }) => string;
-  /** Addresses of entries that a lookup names. */
-  readonly addressesOf: (body: string) => readonly string[];
+  /** Extracts the entry addresses from the response to a lookup. */
+  readonly parseAddresses: (body: string) => readonly string[];
   readonly headers: {
     readonly attempt: string;
     readonly timeLeft: string;
--- a/packages/soak/replace_upstream.ts
+++ b/packages/soak/replace_upstream.ts
@@ -1,41 +1,41 @@
 import type { Milliseconds, Random } from "@heroncleat/base";
-import { drawTime } from "./draw_time.ts";
+import { randomDuration } from "./random_duration.ts";
 import { pause } from "./pause.ts";
 import type { SoakDeployment } from "./soak_deployment.ts";
-import type { LeaveAcknowledged, SoakUpstream } from "./soak_upstream.ts";
+import type { AcknowledgedDeparture, SoakUpstream } from "./soak_upstream.ts";
 
-/** How long an upstream serves on after its leave was acknowledged. */
-const SERVES_ON = { least: 2500, spread: 6000 };
-/** Part of the upstreams that say they leave once, and nothing more. */
-const DEPARTING = 0.6;
+/** Time from an acknowledged departure to the shutdown of the upstream. */
+const SHUTDOWN_DELAY_MS = { min: 2500, spread: 6000 };
+/** Share of the upstreams that report their departure without draining. */
+const DEPARTING_SHARE = 0.6;
 
-/** One upstream leaves, of a zone or of any; another one takes its place. */
+/** Makes an upstream of a zone, or of any zone, depart after adding another. */
 export async function replaceUpstream(
   deployment: SoakDeployment,
   random: Random,
   { zone }: { zone?: string } = {},
-): Promise<LeaveAcknowledged | undefined> {
-  const upstream = deployment.drawUpstream(zone);
+): Promise<AcknowledgedDeparture | undefined> {
+  const upstream = deployment.pickUpstream(zone);
   if (upstream === undefined) {
     return undefined;
   }
   await deployment.addUpstream(upstream.zone);
-  const manner = random() < DEPARTING ? "departs" : "drains";
-  const leave = await upstream.leave(manner);
-  if (leave !== undefined) {
-    deployment.checks.noteLeave(leave);
+  const mode = random() < DEPARTING_SHARE ? "departs" : "drains";
+  const departure = await upstream.depart(mode);
+  if (departure !== undefined) {
+    deployment.checks.recordDeparture(departure);
   }
-  const after = drawTime(random, SERVES_ON);
-  void endLater(deployment, upstream, { manner, after });
-  return leave;
+  const delay = randomDuration(random, SHUTDOWN_DELAY_MS);
+  void shutDownLater(deployment, upstream, { mode, delay });
+  return departure;
 }
 
-async function endLater(
+async function shutDownLater(
   deployment: SoakDeployment,
   upstream: SoakUpstream,
-  { manner, after }: { manner: "drains" | "departs"; after: Milliseconds },
+  { mode, delay }: { mode: "drains" | "departs"; delay: Milliseconds },
 ): Promise<void> {
-  await pause(after);
-  await upstream.end(manner);
-  deployment.dropUpstream(upstream);
+  await pause(delay);
+  await upstream.shutDown(mode);
+  deployment.removeUpstream(upstream);
 }
--- a/packages/soak/soak_caller.ts
+++ b/packages/soak/soak_caller.ts
@@ -1,42 +1,42 @@
 import { Agent } from "node:http";
 import type { Milliseconds } from "@heroncleat/base";
-import { answerOf } from "./answer_of.ts";
-import { callOnce } from "./call_once.ts";
+import { responseBody } from "./response_body.ts";
+import { sendHttpRequest } from "./send_http_request.ts";
 import { pause } from "./pause.ts";
 import type { SoakDocument } from "./soak_document.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
-const TIMEOUT: Milliseconds = 3000;
-/** Pause between two requests of a caller: from this on, and so much more. */
-const PAUSE = { least: 100, spread: 300 };
+const REQUEST_TIMEOUT: Milliseconds = 3000;
+/** Pause between two requests of a caller. */
+const REQUEST_PAUSE_MS = { min: 100, spread: 300 };
 /** Requests on one connection before a caller opens a new one. */
-const MOST_REUSES = 30;
-/** Age of a list of entries at which a caller asks again. */
-const LIST_AGE: Milliseconds = 2000;
+const MAX_REUSES = 30;
+/** Age at which a caller refreshes its list of entries. */
+const MAX_LIST_AGE: Milliseconds = 2000;
 
-/** What one request came to. */
+/** Outcome of one request. */
 export type RequestOutcome = {
   readonly attempt: string;
-  readonly isSingle: boolean;
+  readonly isNonIdempotent: boolean;
   readonly status: number;
-  /** Why what came can't be the answer to this request. */
+  /** Why the response can't belong to this request; undefined if it can. */
   readonly problem: string | undefined;
 };
 
 type CallerOptions = {
   readonly name: string;
   readonly zone: string;
-  readonly wire: SoakWire;
+  readonly adapter: ProgramAdapter;
   readonly document: () => SoakDocument;
-  /** Addresses of VMs to ask which entries there are. */
+  /** Addresses at which entries can be looked up. */
   readonly listLookups: () => readonly string[];
   readonly random: () => number;
   readonly onOutcome: (outcome: RequestOutcome) => void;
 };
 
 /**
- * A caller that asks one request after the other and keeps its connection open
- * until the process at its other end is gone.
+ * A caller that sends one request at a time and reuses its connection until it
+ * breaks, its entry is no longer listed, or the reuse limit is reached.
  */
 export class SoakCaller {
   readonly #options: CallerOptions;
@@ -46,21 +46,21 @@
   #reuses = 0;
   #entries: readonly string[] = [];
   #listedAt: Milliseconds = -Infinity;
-  #count = 0;
+  #requestCount = 0;
 
   constructor(options: CallerOptions) {
     this.#options = options;
   }
 
-  /** Asks until it is stopped. */
+  /** Sends requests until it is stopped. */
   async run(): Promise<void> {
     const { random } = this.#options;
     while (!this.#isStopped) {
-      await this.#renewList();
+      await this.#refreshEntries();
       if (this.#connect()) {
-        await this.#ask();
+        await this.#sendRequest();
       }
-      await pause(PAUSE.least + random() * PAUSE.spread);
+      await pause(REQUEST_PAUSE_MS.min + random() * REQUEST_PAUSE_MS.spread);
     }
     this.#agent?.destroy();
   }
@@ -69,9 +69,9 @@
     this.#isStopped = true;
   }
 
-  async #renewList(): Promise<void> {
-    const { listLookups, random, wire, zone, document } = this.#options;
-    if (performance.now() - this.#listedAt < LIST_AGE) {
+  async #refreshEntries(): Promise<void> {
+    const { listLookups, random, adapter, zone, document } = this.#options;
+    if (performance.now() - this.#listedAt < MAX_LIST_AGE) {
       return;
     }
     const lookups = listLookups();
@@ -79,13 +79,13 @@
     if (at === undefined) {
       return;
     }
-    const reply = await callOnce(at, {
+    const reply = await sendHttpRequest(at, {
       method: "GET",
-      path: wire.lookup({ host: document().host, zone }),
+      path: adapter.lookup({ host: document().host, zone }),
       timeout: 1000,
     });
     if (reply.status === 200) {
-      this.#entries = wire.addressesOf(reply.body);
+      this.#entries = adapter.parseAddresses(reply.body);
       this.#listedAt = performance.now();
     }
     if (!this.#entries.includes(this.#entry)) {
@@ -93,10 +93,10 @@
     }
   }
 
-  /** @returns Whether there is an entry to ask. */
+  /** @returns Whether an entry is known. */
   #connect(): boolean {
     this.#reuses += 1;
-    if (this.#agent !== undefined && this.#reuses <= MOST_REUSES) {
+    if (this.#agent !== undefined && this.#reuses <= MAX_REUSES) {
       return true;
     }
     this.#disconnect();
@@ -115,22 +115,24 @@
     this.#agent = undefined;
   }
 
-  async #ask(): Promise<void> {
-    const { name, wire, document, random, onOutcome } = this.#options;
-    const { host, repeatablePrefix, singlePrefix } = document();
-    const isSingle = random() < 0.5;
-    this.#count += 1;
-    const attempt = `${name}-${this.#count}`;
-    const reply = await callOnce(this.#entry, {
-      method: isSingle ? "POST" : "GET",
-      path: `${isSingle ? singlePrefix : repeatablePrefix}${attempt}`,
-      body: isSingle ? "one table for two" : "",
+  async #sendRequest(): Promise<void> {
+    const { name, adapter, document, random, onOutcome } = this.#options;
+    const { host, idempotentPrefix, nonIdempotentPrefix } = document();
+    const isNonIdempotent = random() < 0.5;
+    this.#requestCount += 1;
+    const attempt = `${name}-${this.#requestCount}`;
+    const reply = await sendHttpRequest(this.#entry, {
+      method: isNonIdempotent ? "POST" : "GET",
+      path: `${
+        isNonIdempotent ? nonIdempotentPrefix : idempotentPrefix
+      }${attempt}`,
+      body: isNonIdempotent ? "one table for two" : "",
       headers: {
         host,
-        [wire.headers.attempt]: attempt,
-        [wire.headers.timeLeft]: String(TIMEOUT),
+        [adapter.headers.attempt]: attempt,
+        [adapter.headers.timeLeft]: String(REQUEST_TIMEOUT),
       },
-      timeout: TIMEOUT,
+      timeout: REQUEST_TIMEOUT,
       agent: this.#agent!,
     });
     const { status } = reply;
@@ -140,18 +142,18 @@
     const problem = status === 200 && "body" in reply
       ? this.#findProblem(attempt, reply)
       : undefined;
-    onOutcome({ attempt, isSingle, status, problem });
+    onOutcome({ attempt, isNonIdempotent, status, problem });
   }
 
   #findProblem(
     attempt: string,
     reply: { body: string; headers: Readonly<Record<string, unknown>> },
   ): string | undefined {
-    const { headers } = this.#options.wire;
+    const { headers } = this.#options.adapter;
     const digest = String(reply.headers[headers.digest] ?? "");
     const upstream = digest.replace("by-", "");
-    return reply.body === answerOf(attempt, upstream)
+    return reply.body === responseBody(attempt, upstream)
       ? undefined
-      : `${attempt} was answered "${reply.body}" signed ${digest}`;
+      : `${attempt} got the response "${reply.body}" with the digest ${digest}`;
   }
 }
--- a/packages/soak/soak_upstream.ts
+++ b/packages/soak/soak_upstream.ts
@@ -5,40 +5,39 @@
   type ServerResponse,
 } from "node:http";
 import type { Milliseconds } from "@heroncleat/base";
-import { answerOf } from "./answer_of.ts";
-import type { Arrival } from "./arrival.ts";
-import { callOnce } from "./call_once.ts";
-import type { SoakWire } from "./soak_wire.ts";
+import { responseBody } from "./response_body.ts";
+import type { ReceivedRequest } from "./received_request.ts";
+import { sendHttpRequest } from "./send_http_request.ts";
+import type { ProgramAdapter } from "./program_adapter.ts";
 
 const HEARTBEAT_INTERVAL: Milliseconds = 1200;
-/** Time within which an acknowledgement counts. */
 const ACK_TIMEOUT: Milliseconds = 1000;
-/** Tries to tell that it leaves before an upstream goes all the same. */
-const LEAVE_TRIES = 12;
-const LEAVE_PAUSE: Milliseconds = 100;
+/** Attempts to report a departure before an upstream gives up. */
+const MAX_DEPARTURE_ATTEMPTS = 12;
+const DEPARTURE_RETRY_DELAY: Milliseconds = 100;
 const SLOTS = 6;
 const PORT = 9000;
-/** Time for which one that crashed is down, in ms. */
-const DOWNTIME = { least: 1500, spread: 2500 };
-/** Time from the start of a run to the crash under it, in ms. */
-const CRASHES_AFTER = { least: 10, spread: 100 };
-/** Time that a request takes, in ms: from this on, and so much more. */
-const WORK = { least: 10, spread: 60 };
+/** Time from a crash to the restart. */
+const DOWNTIME_MS = { min: 1500, spread: 2500 };
+/** Time from the start of a crashing request to the crash. */
+const CRASH_DELAY_MS = { min: 10, spread: 100 };
+/** Service time of a request. */
+const SERVICE_TIME_MS = { min: 10, spread: 60 };
 
-/** How an upstream says that it leaves. */
-type LeaveManner =
-  /** Heartbeats that say so, and a departure once it ends. */
+/** How an upstream reports its departure. */
+type DepartureMode =
+  /** Sends draining heartbeats, and a departure notice when it shuts down. */
   | "drains"
-  /** A departure at once, and nothing more. */
+  /** Sends a departure notice at once and no further heartbeats. */
   | "departs";
 
-/** That a replica acknowledged that an upstream leaves. */
-export type LeaveAcknowledged = {
+/** An upstream departure that a replica has acknowledged. */
+export type AcknowledgedDeparture = {
   readonly upstream: string;
   readonly at: Milliseconds;
-  /** Operators' address of the replica. */
+  /** Operator address of the replica. */
   readonly by: string;
-  readonly manner: LeaveManner;
+  readonly mode: DepartureMode;
 };
 
 type UpstreamOptions = {
@@ -46,20 +45,20 @@
   readonly service: string;
   readonly zone: string;
   readonly host: string;
-  readonly wire: SoakWire;
+  readonly adapter: ProgramAdapter;
   readonly random: () => number;
-  /** Operators' addresses that it may report to, best first. */
+  /** Operator addresses that it may report to, in order of preference. */
   readonly listReplicas: () => readonly string[];
-  readonly onArrival: (arrival: Arrival) => void;
-  readonly onRun: (arrival: Arrival) => void;
-  readonly isSingle: (path: string) => boolean;
-  /** Whether a request ends each upstream that runs it. */
+  readonly onReceived: (received: ReceivedRequest) => void;
+  readonly onRun: (received: ReceivedRequest) => void;
+  readonly isNonIdempotent: (path: string) => boolean;
+  /** Whether a request crashes each upstream that runs it. */
   readonly crashes: (path: string) => boolean;
-  /** Called when this has ended under such a request. */
+  /** Called when such a request has crashed this upstream. */
   readonly onCrash: (path: string) => void;
 };
 
-/** A plain service that reports itself, serves and leaves. */
+/** A plain service that sends heartbeats, serves requests and departs. */
 export class SoakUpstream {
   readonly name: string;
   readonly zone: string;
@@ -71,7 +70,7 @@
   #state: "ready" | "draining" = "ready";
   #timer: NodeJS.Timeout | undefined;
   #replica: string | undefined;
-  #underWay = 0;
+  #inFlight = 0;
 
   constructor(options: UpstreamOptions) {
     this.#options = options;
@@ -84,18 +83,18 @@
     this.#server.keepAliveTimeout = 5000;
   }
 
-  /** Ends at once with all its connections, and runs again after a time. */
+  /** Closes all its connections at once, and restarts after a delay. */
   async crash(): Promise<void> {
-    await this.end("crashes");
+    await this.shutDown("crashes");
     const { random } = this.#options;
     await new Promise((resolve) => {
-      setTimeout(resolve, DOWNTIME.least + random() * DOWNTIME.spread);
+      setTimeout(resolve, DOWNTIME_MS.min + random() * DOWNTIME_MS.spread);
     });
-    // One that was to leave meanwhile doesn't come back.
+    // An upstream that began to depart meanwhile doesn't restart.
     if (this.#state === "ready") {
       this.#born = Date.now();
       this.#sequence = 0;
-      this.#underWay = 0;
+      this.#inFlight = 0;
       await this.start();
     }
   }
@@ -112,68 +111,75 @@
         resolve();
       });
     });
-    void this.#beat();
-    this.#timer = setInterval(() => void this.#beat(), HEARTBEAT_INTERVAL);
+    void this.#sendHeartbeat();
+    this.#timer = setInterval(
+      () => void this.#sendHeartbeat(),
+      HEARTBEAT_INTERVAL,
+    );
   }
 
   /**
-   * Says that it leaves, to one replica after the other until one acknowledges
+   * Reports its departure to one replica after the other until one acknowledges
    * it.
    */
-  async leave(manner: LeaveManner): Promise<LeaveAcknowledged | undefined> {
+  async depart(
+    mode: DepartureMode,
+  ): Promise<AcknowledgedDeparture | undefined> {
     this.#state = "draining";
-    if (manner === "departs") {
+    if (mode === "departs") {
       clearInterval(this.#timer);
     }
-    for (let tried = 0; tried < LEAVE_TRIES; tried += 1) {
+    for (let attempts = 0; attempts < MAX_DEPARTURE_ATTEMPTS; attempts += 1) {
       const replicas = this.#options.listReplicas();
-      const by = replicas[tried % Math.max(1, replicas.length)];
-      if (by !== undefined && await this.#tell(by, manner)) {
-        return { upstream: this.name, at: performance.now(), by, manner };
+      const by = replicas[attempts % Math.max(1, replicas.length)];
+      if (by !== undefined && await this.#notify(by, mode)) {
+        return { upstream: this.name, at: performance.now(), by, mode };
       }
-      await new Promise((resolve) => setTimeout(resolve, LEAVE_PAUSE));
+      await new Promise((resolve) =>
+        setTimeout(resolve, DEPARTURE_RETRY_DELAY)
+      );
     }
     return undefined;
   }
 
-  /** Ends; one that drained says so first. */
-  async end(manner: LeaveManner | "crashes"): Promise<void> {
+  /** Shuts down, after a departure notice if it was draining. */
+  async shutDown(mode: DepartureMode | "crashes"): Promise<void> {
     clearInterval(this.#timer);
-    if (manner === "drains") {
+    if (mode === "drains") {
       const [by] = this.#options.listReplicas();
       if (by !== undefined) {
-        await this.#tell(by, "departs");
+        await this.#notify(by, "departs");
       }
     }
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  async #tell(by: string, manner: LeaveManner): Promise<boolean> {
-    const { wire } = this.#options;
-    const call = manner === "departs"
-      ? wire.departure(this.name)
-      : wire.heartbeat(this.#report());
-    const reply = await callOnce(by, { ...call, timeout: ACK_TIMEOUT });
+  async #notify(by: string, mode: DepartureMode): Promise<boolean> {
+    const { adapter } = this.#options;
+    const call = mode === "departs"
+      ? adapter.departure(this.name)
+      : adapter.heartbeat(this.#buildReport());
+    const reply = await sendHttpRequest(by, { ...call, timeout: ACK_TIMEOUT });
     return reply.status >= 200 && reply.status < 300;
   }
 
-  /** One replica hears it until a heartbeat fails there. */
-  async #beat(): Promise<void> {
+  /** Sends heartbeats to the same replica until one fails. */
+  async #sendHeartbeat(): Promise<void> {
     const replicas = this.#options.listReplicas();
-    const { random, wire } = this.#options;
-    const drawn = replicas[Math.floor(random() * replicas.length)];
-    const by = this.#replica ?? drawn;
+    const { random, adapter } = this.#options;
+    const randomReplica = replicas[Math.floor(random() * replicas.length)];
+    const by = this.#replica ?? randomReplica;
     if (by === undefined) {
       return;
     }
-    const call = wire.heartbeat(this.#report());
-    const reply = await callOnce(by, { ...call, timeout: ACK_TIMEOUT });
-    const isTaken = reply.status >= 200 && reply.status < 300;
-    this.#replica = isTaken ? by : undefined;
+    const call = adapter.heartbeat(this.#buildReport());
+    const reply = await sendHttpRequest(by, { ...call, timeout: ACK_TIMEOUT });
+    const isAccepted = reply.status >= 200 && reply.status < 300;
+    this.#replica = isAccepted ? by : undefined;
   }
 
-  #report() {
+  #buildReport() {
     this.#sequence += 1;
     return {
       name: this.name,
@@ -191,15 +197,16 @@
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const { wire, onArrival, onRun, isSingle, crashes, random } = this.#options;
-    const { headers } = wire;
+    const { adapter, onReceived, onRun, isNonIdempotent, crashes, random } =
+      this.#options;
+    const { headers } = adapter;
     const attempt = String(message.headers[headers.attempt] ?? "");
-    const arrival: Arrival = {
+    const received: ReceivedRequest = {
       attempt,
       upstream: this.name,
       from: message.socket.remoteAddress ?? "",
       at: performance.now(),
-      isSingle: isSingle(message.url ?? ""),
+      isNonIdempotent: isNonIdempotent(message.url ?? ""),
       target: message.url ?? "",
     };
     response.setHeader(headers.attempt, attempt);
@@ -209,36 +216,39 @@
       response.writeHead(421).end();
       return;
     }
-    onArrival(arrival);
-    if (this.#underWay >= SLOTS * 4) {
+    onReceived(received);
+    if (this.#inFlight >= SLOTS * 4) {
       response.writeHead(503, { [headers.notRun]: "1" }).end();
       return;
     }
-    onRun(arrival);
-    if (crashes(arrival.target)) {
+    onRun(received);
+    if (crashes(received.target)) {
       response.writeHead(200, { [headers.digest]: `by-${this.name}` });
       response.write("begun");
       await new Promise((resolve) => {
         setTimeout(
           resolve,
-          CRASHES_AFTER.least + random() * CRASHES_AFTER.spread,
+          CRASH_DELAY_MS.min + random() * CRASH_DELAY_MS.spread,
         );
       });
       if (this.#server.listening) {
-        this.#options.onCrash(arrival.target);
+        this.#options.onCrash(received.target);
         void this.crash();
       }
       return;
     }
-    this.#underWay += 1;
+    this.#inFlight += 1;
     await new Promise((resolve) => {
-      setTimeout(resolve, WORK.least + random() * WORK.spread);
+      setTimeout(
+        resolve,
+        SERVICE_TIME_MS.min + random() * SERVICE_TIME_MS.spread,
+      );
     });
-    this.#underWay -= 1;
+    this.#inFlight -= 1;
     response.writeHead(200, {
       [headers.digest]: `by-${this.name}`,
       "keep-alive": "timeout=5",
     });
-    response.end(answerOf(attempt, this.name));
+    response.end(responseBody(attempt, this.name));
   }
 }
--- a/packages/stand_ins/announcer.ts
+++ b/packages/stand_ins/announcer.ts
@@ -3,11 +3,11 @@
 import { request } from "undici";
 import type { StandInSettings } from "./stand_in_settings.ts";
 
-const REQUEST_TIMEOUT = 1000;
+const REQUEST_TIMEOUT_MS = 1000;
 
 /**
- * Announces an upstream to one entry after another, as upstreams do: there is
- * no list of them anywhere.
+ * Announces an upstream to an entry at regular intervals, and fails over to the
+ * next entry.
  *
  * @public
  */
@@ -16,8 +16,8 @@
   readonly #readLoad: () => Omit<Load, "at">;
   readonly #incarnation = Date.now();
   #sequence = 0;
-  #entry = 0;
-  #leaveAt: Milliseconds | undefined;
+  #entryIndex = 0;
+  #reclaimAt: Milliseconds | undefined;
   #timer: NodeJS.Timeout | undefined;
   #models: readonly string[];
 
@@ -42,27 +42,31 @@
     void this.announce();
   }
 
-  /** Announces that the VM will be taken. */
-  async leave(reclaimIn: Milliseconds): Promise<void> {
-    this.#leaveAt = Date.now() + reclaimIn;
+  /** Announces that the VM will be reclaimed. */
+  async announceReclaim(reclaimIn: Milliseconds): Promise<void> {
+    this.#reclaimAt = Date.now() + reclaimIn;
     await this.announce();
   }
 
-  /** Tries the entries in turn until one takes the announcement. */
+  /** Tries the entries in turn until one accepts the announcement. */
   async announce(): Promise<void> {
     this.#sequence += 1;
     const body = JSON.stringify(this.#build());
-    for (let tried = 0; tried < this.#settings.entries.length; tried += 1) {
+    for (
+      let attempts = 0;
+      attempts < this.#settings.entries.length;
+      attempts += 1
+    ) {
       if (await this.#sendTo(this.#currentEntry(), body)) {
         return;
       }
-      this.#entry += 1;
+      this.#entryIndex += 1;
     }
   }
 
   #currentEntry(): string {
     const { entries } = this.#settings;
-    return entries[this.#entry % entries.length]!;
+    return entries[this.#entryIndex % entries.length]!;
   }
 
   async #sendTo(entry: string, body: string): Promise<boolean> {
@@ -74,8 +78,8 @@
           authorization: `Bearer ${this.#settings.sharedSecret}`,
         },
         body,
-        headersTimeout: REQUEST_TIMEOUT,
-        bodyTimeout: REQUEST_TIMEOUT,
+        headersTimeout: REQUEST_TIMEOUT_MS,
+        bodyTimeout: REQUEST_TIMEOUT_MS,
       });
       await response.body.dump();
       return response.statusCode === 200;
@@ -101,14 +105,14 @@
       slots: settings.engine.slots,
       prefillRate: settings.engine.prefillRate,
       decodeInterval: settings.engine.decodeInterval,
-      state: this.#leaveAt === undefined ? "serving" : "leaving",
+      state: this.#reclaimAt === undefined ? "serving" : "leaving",
       load: { ...this.#readLoad(), at: Date.now() },
     };
     if (settings.service !== "") {
       announcement.service = settings.service;
     }
-    if (this.#leaveAt !== undefined) {
-      announcement.reclaimIn = Math.max(0, this.#leaveAt - Date.now());
+    if (this.#reclaimAt !== undefined) {
+      announcement.reclaimIn = Math.max(0, this.#reclaimAt - Date.now());
     }
     return announcement;
   }
--- a/packages/stand_ins/model_engine.ts
+++ b/packages/stand_ins/model_engine.ts
@@ -5,23 +5,23 @@
 import type { EngineSettings } from "./engine_settings.ts";
 import { TokenSource } from "./token_source.ts";
 
-/** Runs an action later; returns how to cancel it. */
+/** Schedules an action after a delay in ms; returns a function to cancel it. */
 type Schedule = (action: () => void, delay: number) => () => void;
 
-/** A generation that has a slot. */
+/** A generation that occupies a slot. */
 type RunningJob = {
   readonly job: EngineJob;
   readonly source: TokenSource;
-  left: number;
+  remainingTokens: number;
   cancelTimer: () => void;
 };
 
-const BLOCK_CHARACTERS = 256;
+const CHARACTERS_PER_BLOCK = 256;
 const MS_PER_SECOND = 1000;
 
 /**
- * A small model engine: slots, a queue by priority, a prefix cache of limited
- * size, prefill and decode times. Time comes from the function passed in.
+ * A simulated model engine with slots, a priority queue, a bounded prefix cache,
+ * and prefill and decode times. The given function schedules its timers.
  *
  * @public
  */
@@ -58,7 +58,9 @@
 
   submit(job: EngineJob): void {
     this.#waiting.push(job);
-    this.#waiting.sort((left, right) => left.priority - right.priority);
+    this.#waiting.sort((remainingTokens, right) =>
+      remainingTokens.priority - right.priority
+    );
     this.#startNext();
   }
 
@@ -86,7 +88,7 @@
     const promptTokens = countTokens(job.prompt);
     const emittedTokens = countTokens(job.emitted);
     const cachedTokens = Math.floor(
-      promptTokens * this.#takeCached(job.prompt),
+      promptTokens * this.#lookUpPrefix(job.prompt),
     );
     const delay = this.#prefill(job, {
       prompt: promptTokens - cachedTokens,
@@ -99,7 +101,7 @@
     const running: RunningJob = {
       job,
       source: new TokenSource(job.text, this.#settings.salt),
-      left: job.maxTokens,
+      remainingTokens: job.maxTokens,
       cancelTimer: () => {},
     };
     this.#running.set(job.id, running);
@@ -107,15 +109,15 @@
     running.cancelTimer = this.#schedule(step, delay);
   }
 
-  /** Counts what must be computed and returns how long it takes. */
+  /** Counts the prefill tokens and returns the prefill time in ms. */
   #prefill(
     job: EngineJob,
     tokens: { prompt: number; emitted: number },
   ): number {
     if (job.kvTransfer) {
-      const moved = tokens.prompt + tokens.emitted;
-      this.counts.transferred += moved;
-      return moved / this.#settings.transferRate * MS_PER_SECOND;
+      const transferred = tokens.prompt + tokens.emitted;
+      this.counts.transferred += transferred;
+      return transferred / this.#settings.transferRate * MS_PER_SECOND;
     }
     this.counts.computed += tokens.prompt;
     this.counts.recomputed += tokens.emitted;
@@ -128,16 +130,18 @@
     usage: { promptTokens: number; cachedTokens: number },
   ): void {
     const { job } = running;
-    const text = running.left > 0 ? running.source.next() : undefined;
+    const text = running.remainingTokens > 0
+      ? running.source.next()
+      : undefined;
     if (text === undefined) {
       this.#running.delete(job.id);
-      const tokens = job.maxTokens - running.left;
-      const reason = running.left > 0 ? "stop" : "length";
+      const tokens = job.maxTokens - running.remainingTokens;
+      const reason = running.remainingTokens > 0 ? "stop" : "length";
       job.onEnd({ reason, tokens, ...usage });
       this.#startNext();
       return;
     }
-    running.left -= 1;
+    running.remainingTokens -= 1;
     this.counts.generated += 1;
     running.cancelTimer = this.#schedule(
       () => this.#step(running, usage),
@@ -151,18 +155,20 @@
     return decodeInterval * (1 + batchSlowdown * this.#running.size / slots);
   }
 
-  /** Share of the prompt that the cache holds; caches all of it. */
-  #takeCached(prompt: string): number {
+  /** Returns the cached share of a prompt and caches all of its blocks. */
+  #lookUpPrefix(prompt: string): number {
     const blocks: string[] = [];
-    let chain = "";
+    let prefixHash = "";
     for (
       let start = 0;
-      start + BLOCK_CHARACTERS <= prompt.length;
-      start += BLOCK_CHARACTERS
+      start + CHARACTERS_PER_BLOCK <= prompt.length;
+      start += CHARACTERS_PER_BLOCK
     ) {
-      const block = prompt.slice(start, start + BLOCK_CHARACTERS);
-      chain = createHash("sha1").update(chain).update(block).digest("hex");
-      blocks.push(chain);
+      const block = prompt.slice(start, start + CHARACTERS_PER_BLOCK);
+      prefixHash = createHash("sha1").update(prefixHash).update(block).digest(
+        "hex",
+      );
+      blocks.push(prefixHash);
     }
     let cached = 0;
     while (cached < blocks.length && this.#cache.has(blocks[cached]!)) {
--- a/packages/stand_ins/order_log.ts
+++ b/packages/stand_ins/order_log.ts
@@ -1,4 +1,4 @@
-/** An order that an upstream received. */
+/** An operator order that an upstream received. */
 type ReceivedOrder = {
   readonly fencing: number;
   readonly path: string;
@@ -7,23 +7,24 @@
 };
 
 /**
- * The orders a stand-in received. One that checks fencing numbers refuses any
- * that is not above the highest it has seen.
+ * Records the orders that a stand-in received. If it checks fencing tokens, it
+ * rejects orders whose token is below the highest one received.
  *
  * @internal
  */
 export class OrderLog {
   readonly received: ReceivedOrder[] = [];
-  readonly #checks: boolean;
-  #highest = 0;
+  readonly #checksFencing: boolean;
+  #highestFencing = 0;
 
-  constructor(checks: boolean) {
-    this.#checks = checks;
+  constructor(checksFencing: boolean) {
+    this.#checksFencing = checksFencing;
   }
 
-  take(order: Omit<ReceivedOrder, "accepted">): boolean {
-    const accepted = !this.#checks || order.fencing >= this.#highest;
-    this.#highest = Math.max(this.#highest, order.fencing);
+  record(order: Omit<ReceivedOrder, "accepted">): boolean {
+    const accepted = !this.#checksFencing ||
+      order.fencing >= this.#highestFencing;
+    this.#highestFencing = Math.max(this.#highestFencing, order.fencing);
     this.received.push({ ...order, accepted });
     return accepted;
   }
